--- a/admission.c
+++ b/admission.c
@@ -44,13 +44,13 @@
 #define COMEBACK_MAX (10 * CC_SECOND)
 
 static gint64
-own_time (const CcAdmissionAsk *a)
+own_time (const CcAdmissionRequest *a)
 {
   return a->service + SERVICE_DEVIATIONS * a->deviation;
 }
 
 static gint64
-wait_of (const CcAdmissionAsk *a)
+wait_of (const CcAdmissionRequest *a)
 {
   return (gint64) ((double) a->ahead / a->slots);
 }
@@ -58,7 +58,7 @@
 /* How long a request may wait: to its target, but on an idle server one
  * service time in any case; never past its deadline. */
 static gint64
-longest_wait (const CcAdmissionAsk *a)
+longest_wait (const CcAdmissionRequest *a)
 {
   gint64 target = (gint64) (WAIT_SHARE * (double) a->within) - own_time (a);
 
@@ -69,14 +69,14 @@
  * for less than the target: an estimate that a hang made too long is mended
  * only by work that is sent.  Refused by it, nothing was sent ever again. */
 static gboolean
-tests_estimate (const CcAdmissionAsk *a)
+tests_estimate (const CcAdmissionRequest *a)
 {
   return a->ahead == 0 && a->left >= MIN (own_time (a), a->within);
 }
 
 /* Decides on A. */
 CcAdmission
-cc_admission_decide (const CcAdmissionAsk *a)
+cc_admission_decide (const CcAdmissionRequest *a)
 {
   gint64 longest = longest_wait (a);
   double room = (double) longest * a->slots;
@@ -93,7 +93,7 @@
 
 /* When A, refused with VERDICT, is to come back, ms.  Counts it in C. */
 guint32
-cc_admission_retry_after (CcComeback *c, const CcAdmissionAsk *a,
+cc_admission_retry_after (CcRetryPacer *c, const CcAdmissionRequest *a,
                           CcAdmission verdict, gint64 now)
 {
   gint64 drained = (gint64) ((double) (now - c->since) * a->slots);
--- a/admission.h
+++ b/admission.h
@@ -22,7 +22,7 @@
   double slots;     /* how many work on that at once */
   gint64 tenant;    /* cost of what its tenant has waiting */
   gint64 slice;     /* cost of what waits for its slice */
-} CcAdmissionAsk;
+} CcAdmissionRequest;
 
 /* Refused work that was told to come back, as a queue that drains at the
  * server's rate. */
@@ -30,10 +30,10 @@
 {
   gint64 cost;  /* of the refused not yet due back, us */
   gint64 since; /* when cost was brought up to date, us */
-} CcComeback;
+} CcRetryPacer;
 
-CcAdmission cc_admission_decide (const CcAdmissionAsk *a);
-guint32 cc_admission_retry_after (CcComeback *c, const CcAdmissionAsk *a,
+CcAdmission cc_admission_decide (const CcAdmissionRequest *a);
+guint32 cc_admission_retry_after (CcRetryPacer *c, const CcAdmissionRequest *a,
                                   CcAdmission verdict, gint64 now);
 
 #endif
--- a/choose.c
+++ b/choose.c
@@ -55,7 +55,8 @@
         continue;
       chosen.considered = t;
       soonest = MIN (soonest, unreachable_until (t, now));
-      if ((tried && untried) || !cc_pick_has_room (&t->load, &c->typical, now))
+      if ((tried && untried) ||
+          !cc_pick_has_capacity (&t->load, &c->typical, now))
         continue;
       cost = cc_pick_cost (&t->load, &c->typical, cross_zone_cost (c, t), now);
       /* Equal ones are told apart by lot, or all entries take the first. */
@@ -116,7 +117,7 @@
  * long as the answer is to be expected in time, however many wait inside; with
  * a free slot, in any case. */
 gboolean
-cc_choose_has_room (const CcChoice *c, const CcTarget *owner, gint64 now)
+cc_choose_has_capacity (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
   if (now < owner->load.avoid_until ||
       cc_pick_is_full (&owner->load, owner_inside (c, owner, now), now))
@@ -129,7 +130,7 @@
  * its queue has shrunk by what is too much of it, and by one request at least.
  */
 gint64
-cc_choose_room_at (const CcChoice *c, const CcTarget *owner, gint64 now)
+cc_choose_capacity_at (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
   double excess =
       owner_time (c, owner, now) - OWNER_LATE * (double) c->target_time;
--- a/choose.h
+++ b/choose.h
@@ -28,8 +28,9 @@
 CcChosen cc_choose_any (const CcChoice *c, gint64 now);
 CcChosen cc_choose_owner (const CcChoice *c, const CcKeyRanges *ranges,
                           gint32 key, gint64 now);
-gboolean cc_choose_has_room (const CcChoice *c, const CcTarget *owner,
-                             gint64 now);
-gint64 cc_choose_room_at (const CcChoice *c, const CcTarget *owner, gint64 now);
+gboolean cc_choose_has_capacity (const CcChoice *c, const CcTarget *owner,
+                                 gint64 now);
+gint64 cc_choose_capacity_at (const CcChoice *c, const CcTarget *owner,
+                              gint64 now);
 
 #endif
--- a/connection_health.c
+++ b/connection_health.c
@@ -20,7 +20,7 @@
 
 /* A call on a fresh connection, sent at SENT, was answered. */
 void
-cc_connection_proven (CcConnectionHealth *h, gint64 sent)
+cc_connection_probe_answered (CcConnectionHealth *h, gint64 sent)
 {
   h->proven = MAX (h->proven, sent);
 }
@@ -28,8 +28,8 @@
 /* What to do at NOW about an attempt on a kept connection that was sent at SENT
  * and should take EXPECTED us. */
 CcConnectionAction
-cc_connection_judge (const CcConnectionHealth *h, gint64 sent, gint64 expected,
-                     gint64 now)
+cc_connection_classify (const CcConnectionHealth *h, gint64 sent,
+                        gint64 expected, gint64 now)
 {
   gint64 limit = CC_CONNECTION_SUSPECT_AFTER + EXPECTED_FACTOR * expected;
 
--- a/connection_health.h
+++ b/connection_health.h
@@ -26,10 +26,10 @@
   gint64 dropped; /* when the pool was last dropped, us; 0: never */
 } CcConnectionHealth;
 
-void cc_connection_proven (CcConnectionHealth *h, gint64 sent);
-CcConnectionAction cc_connection_judge (const CcConnectionHealth *h,
-                                        gint64 sent, gint64 expected,
-                                        gint64 now);
+void cc_connection_probe_answered (CcConnectionHealth *h, gint64 sent);
+CcConnectionAction cc_connection_classify (const CcConnectionHealth *h,
+                                           gint64 sent, gint64 expected,
+                                           gint64 now);
 gboolean cc_connection_drop_due (CcConnectionHealth *h, gint64 now);
 
 #endif
--- a/connections.c
+++ b/connections.c
@@ -12,8 +12,8 @@
 may_be_given_up (CcServer *s, const CcJob *j)
 {
   return !j->once_only && j->state == CC_JOB_SENT &&
-         cc_retries_may (&s->load.retries, j->waiting.class_id, FALSE,
-                         CC_FAIL_UNKNOWN, j->waiting.tries);
+         cc_retries_allowed (&s->load.retries, j->waiting.class_id, FALSE,
+                             CC_FAIL_UNKNOWN, j->waiting.tries);
 }
 
 static CcJob *
@@ -78,7 +78,8 @@
   j = oldest_on_kept (s);
   if (j == NULL)
     return;
-  switch (cc_connection_judge (&s->connections, j->sent, j->waiting.cost, now))
+  switch (
+      cc_connection_classify (&s->connections, j->sent, j->waiting.cost, now))
     {
     case CC_CONNECTION_KEEP:
       break;
--- a/exchange.c
+++ b/exchange.c
@@ -132,8 +132,9 @@
     cc_pool_load_add (load, &e->target->load.in_pool,
                       inside / MAX (e->target->load.slots, 1), e->typical.any,
                       now);
-  else if (r->end == CC_PICK_TURNED_AWAY || r->end == CC_PICK_FAILED)
-    cc_pool_load_full (load, &e->target->load.in_pool, e->typical.any, now);
+  else if (r->end == CC_PICK_REJECTED || r->end == CC_PICK_FAILED)
+    cc_pool_load_add_reset (load, &e->target->load.in_pool, e->typical.any,
+                            now);
 }
 
 static void
@@ -162,7 +163,7 @@
 {
   cc_http_cancel (e->call);
   e->call = NULL;
-  release_target (e, CC_PICK_GIVEN_UP, NULL);
+  release_target (e, CC_PICK_ABANDONED, NULL);
 }
 
 /* The time that the caller or the route allows is over. */
@@ -305,7 +306,7 @@
     case CC_SERVER_SHED:
       return CC_PICK_SHED;
     case CC_SERVER_MISDIRECTED:
-      return CC_PICK_GIVEN_UP;
+      return CC_PICK_ABANDONED;
     case CC_SERVER_NONSENSE:
       return CC_PICK_FAILED;
     }
@@ -364,12 +365,11 @@
       break;
     case CC_HTTP_LOST:
       release_target (
-          e, is_turned_away (e, r) ? CC_PICK_TURNED_AWAY : CC_PICK_FAILED,
-          NULL);
+          e, is_turned_away (e, r) ? CC_PICK_REJECTED : CC_PICK_FAILED, NULL);
       retry_unknown (e, r->why);
       break;
     case CC_HTTP_LATE:
-      release_target (e, CC_PICK_GIVEN_UP, NULL);
+      release_target (e, CC_PICK_ABANDONED, NULL);
       cc_exchange_end_unknown (e, "deadline");
       break;
     }
--- a/forward.c
+++ b/forward.c
@@ -174,13 +174,13 @@
   CcTarget *t = chosen.target;
 
   e->considered = chosen.considered;
-  if (t != NULL && cc_choose_has_room (&c, t, now))
+  if (t != NULL && cc_choose_has_capacity (&c, t, now))
     return send_to (e, t) ? STEP_SENT : STEP_WAITS;
   /* One that shed work has room again in a moment; one that can't be reached
    * may not. */
   if (t != NULL && (now >= t->load.avoid_until || t->load.avoid_span == 0))
     {
-      gint64 room_at = cc_choose_room_at (&c, t, now);
+      gint64 room_at = cc_choose_capacity_at (&c, t, now);
 
       if (room_at <= e->began + (gint64) (OWNER_PART * (double) e->target_time))
         return STEP_WAITS;
@@ -388,7 +388,7 @@
   if (e->keyed && e->caller.key >= 0)
     cc_load_reporter_count (f->setup.reporter, e->pool->name,
                             (guint) e->caller.key);
-  cc_retry_budget_first (&e->pool->budget, &f->setup.retry_bound);
+  cc_retry_budget_earn (&e->pool->budget, &f->setup.retry_bound);
   cc_backlog_push (&e->pool->backlog, &e->entry);
   cc_timer_start (&e->timer, cc_exchange_left (e, e->began),
                   cc_exchange_on_give_up, e);
--- a/gateway.c
+++ b/gateway.c
@@ -194,10 +194,11 @@
 update_targets (gpointer data)
 {
   Gateway *g = data;
-  CcListed listed = { .view = cc_mirror_view (g->mirror, CC_TABLE_UPSTREAMS),
-                      .clock = cc_mirror_clock (g->mirror),
-                      .outage = cc_mirror_outage (g->mirror),
-                      .own_outage = cc_mirror_own_outage (g->mirror) };
+  CcTargetsSource listed = { .view =
+                                 cc_mirror_view (g->mirror, CC_TABLE_UPSTREAMS),
+                             .clock = cc_mirror_clock (g->mirror),
+                             .outage = cc_mirror_outage (g->mirror),
+                             .own_outage = cc_mirror_own_outage (g->mirror) };
 
   if (cc_targets_update (&g->targets, &listed, cc_edge_read_listing,
                          cc_clock_now (), on_target_changed, g))
--- a/grants.c
+++ b/grants.c
@@ -19,7 +19,7 @@
   if (status != CC_UNKNOWN)
     {
       cc_holding_answered (s->holding, cc_clock_now ());
-      cc_connection_proven (&s->connections, sent);
+      cc_connection_probe_answered (&s->connections, sent);
     }
   if (status == CC_OK && serial != 0)
     cc_holding_grant_acked (s->holding, serial, sent);
--- a/hedge.c
+++ b/hedge.c
@@ -31,11 +31,11 @@
 
 /* Decides on A. */
 gboolean
-cc_hedge_decide (const CcHedgeAsk *a)
+cc_hedge_decide (const CcHedgeAttempt *a)
 {
   gint64 usual = a->cost.mean + DEVIATIONS * a->cost.deviation;
 
   if (a->once_only)
     return FALSE;
-  return a->overtaken >= OVERTAKEN_MIN && a->age > MAX (usual, AGE_MIN);
+  return a->later_answers >= OVERTAKEN_MIN && a->age > MAX (usual, AGE_MIN);
 }
--- a/hedge.h
+++ b/hedge.h
@@ -7,12 +7,12 @@
 /* What is known of an attempt that has not been answered. */
 typedef struct
 {
-  gboolean once_only; /* not idempotent */
-  gint64 age;         /* since it was sent, us */
-  guint64 overtaken;  /* answers of the server since then */
-  CcCost cost;        /* expected of it */
-} CcHedgeAsk;
+  gboolean once_only;    /* not idempotent */
+  gint64 age;            /* since it was sent, us */
+  guint64 later_answers; /* answers of the server since then */
+  CcCost cost;           /* expected of it */
+} CcHedgeAttempt;
 
-gboolean cc_hedge_decide (const CcHedgeAsk *a);
+gboolean cc_hedge_decide (const CcHedgeAttempt *a);
 
 #endif
--- a/job.h
+++ b/job.h
@@ -43,9 +43,9 @@
   gint64 sent;     /* when the attempt left, us */
   CcTimer timer;   /* fires at the deadline */
   CcHolding *holding;
-  CcAttempt *attempt; /* in state SENT */
-  gpointer owner;     /* of the timer's and attempt's callbacks */
-  CcWaiting waiting;  /* its place in the queue */
+  CcAttempt *attempt;   /* in state SENT */
+  gpointer owner;       /* of the timer's and attempt's callbacks */
+  CcQueueEntry waiting; /* its place in the queue */
 } CcJob;
 
 CcJob *cc_job_new (const CcMessage *m, const char *pool, gboolean once_only,
--- a/link_health.c
+++ b/link_health.c
@@ -70,7 +70,7 @@
 
 /* What to do at NOW; to be called every CC_PING_PERIOD or more often. */
 CcLinkAction
-cc_link_look (CcLinkHealth *h, gint64 now)
+cc_link_poll (CcLinkHealth *h, gint64 now)
 {
   gboolean idle = now >= h->used + CC_LINK_IDLE_AFTER && h->waiting_since == 0;
   gint64 period = idle ? CC_PING_IDLE_PERIOD : CC_PING_PERIOD;
--- a/link_health.h
+++ b/link_health.h
@@ -40,6 +40,6 @@
 void cc_link_lost (CcLinkHealth *h);
 void cc_link_used (CcLinkHealth *h, gint64 now);
 void cc_link_answered (CcLinkHealth *h, guint64 sequence, gint64 now);
-CcLinkAction cc_link_look (CcLinkHealth *h, gint64 now);
+CcLinkAction cc_link_poll (CcLinkHealth *h, gint64 now);
 
 #endif
--- a/load.c
+++ b/load.c
@@ -54,7 +54,7 @@
 
 /* Slots that serve W's lane and its length of job. */
 static double
-slots_for (const CcLoad *l, const CcWaiting *w, gint64 now)
+slots_for (const CcLoad *l, const CcQueueEntry *w, gint64 now)
 {
   guint classes = cc_queue_active (&l->queue, w->class_id, now - w->within);
   guint slots = l->limit.limit;
@@ -68,7 +68,7 @@
 
 /* What W is expected to take; a guess until its server was ever measured. */
 static CcCost
-estimate (const CcLoad *l, const CcWaiting *w)
+estimate (const CcLoad *l, const CcQueueEntry *w)
 {
   CcCost cost = cc_costs_of (&l->costs, w->kind);
 
@@ -77,18 +77,19 @@
   return cost;
 }
 
-static CcAdmissionAsk
-describe (const CcLoad *l, const CcWaiting *w, gint64 now)
+static CcAdmissionRequest
+describe (const CcLoad *l, const CcQueueEntry *w, gint64 now)
 {
   const CcLane *lane = cc_queue_lane (&l->queue, w->class_id);
   CcCost cost = estimate (l, w);
-  CcAdmissionAsk a = { .within = w->within,
-                       .left = w->left,
-                       .service = cost.mean,
-                       .deviation = cost.deviation,
-                       .slots = slots_for (l, w, now),
-                       .tenant = cc_queue_of_tenant (&l->queue, w->tenant),
-                       .slice = cc_queue_of_slice (&l->queue, w->slice) };
+  CcAdmissionRequest a = { .within = w->within,
+                           .left = w->left,
+                           .service = cost.mean,
+                           .deviation = cost.deviation,
+                           .slots = slots_for (l, w, now),
+                           .tenant =
+                               cc_queue_tenant_cost (&l->queue, w->tenant),
+                           .slice = cc_queue_slice_cost (&l->queue, w->slice) };
 
   if (lane != NULL)
     a.ahead = lane->backlog[w->is_long];
@@ -98,7 +99,7 @@
 }
 
 static void
-classify (const CcLoad *l, CcWaiting *w)
+classify (const CcLoad *l, CcQueueEntry *w)
 {
   gint64 mean = l->costs.all.mean;
 
@@ -114,9 +115,9 @@
 
 /* Takes W into the queue, or tells why not.  W's cost is set here. */
 CcOffer
-cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now)
+cc_load_offer (CcLoad *l, CcQueueEntry *w, gint64 now)
 {
-  CcAdmissionAsk a;
+  CcAdmissionRequest a;
   CcAdmission verdict;
 
   classify (l, w);
@@ -140,10 +141,10 @@
 }
 
 /* Takes out what is to be sent now, and counts it as sent; or NULL. */
-CcWaiting *
+CcQueueEntry *
 cc_load_next (CcLoad *l, CcMaySend may, gpointer data, gint64 now)
 {
-  CcWaiting *w;
+  CcQueueEntry *w;
 
   if (!cc_limit_may_send (&l->limit, l->running, now))
     return NULL;
@@ -153,7 +154,7 @@
   if (l->running == 0)
     l->progress = now;
   if (w->tries++ == 0)
-    cc_retries_first (&l->retries, w->class_id);
+    cc_retries_earn (&l->retries, w->class_id);
   w->sent = now;
   w->answers = l->answers;
   l->running++;
@@ -177,7 +178,7 @@
 /* Whether the server has answered nothing since W was sent; if it has, W's
  * connection is to blame. */
 static gboolean
-is_silent (const CcLoad *l, const CcWaiting *w)
+is_silent (const CcLoad *l, const CcQueueEntry *w)
 {
   return l->answers == w->answers;
 }
@@ -186,7 +187,7 @@
  * took far too long: a caller with a deadline of 5 ms must not lower a good
  * server's limit. */
 void
-cc_load_done (CcLoad *l, const CcWaiting *w, CcLoadEnd end, gint64 now)
+cc_load_done (CcLoad *l, const CcQueueEntry *w, CcLoadEnd end, gint64 now)
 {
   gboolean saturated =
       l->running >= l->limit.limit && cc_queue_length (&l->queue) > 0;
@@ -222,7 +223,7 @@
 /* Puts W, whose attempt failed with F, back into the queue if the budget and
  * the deadline allow another.  Returns FALSE if not. */
 gboolean
-cc_load_retry (CcLoad *l, CcWaiting *w, CcFailure f, gint64 now)
+cc_load_retry (CcLoad *l, CcQueueEntry *w, CcFailure f, gint64 now)
 {
   gint64 again = now + estimate (l, w).mean;
 
@@ -237,12 +238,12 @@
  * the second, whose connection was new; nor work of a kind never measured,
  * which may take long by its nature. */
 gboolean
-cc_load_hedge (const CcLoad *l, const CcWaiting *w, gint64 now)
+cc_load_hedge (const CcLoad *l, const CcQueueEntry *w, gint64 now)
 {
-  CcHedgeAsk a = { .once_only = w->once_only,
-                   .age = now - w->sent,
-                   .overtaken = l->answers - w->answers,
-                   .cost = cc_costs_of (&l->costs, w->kind) };
+  CcHedgeAttempt a = { .once_only = w->once_only,
+                       .age = now - w->sent,
+                       .later_answers = l->answers - w->answers,
+                       .cost = cc_costs_of (&l->costs, w->kind) };
 
   return w->tries == 1 && cc_costs_known (&l->costs, w->kind) &&
          cc_hedge_decide (&a);
--- a/load.h
+++ b/load.h
@@ -15,7 +15,7 @@
   CcCosts costs;
   CcLimit limit;
   CcRetries retries;
-  CcComeback comeback;
+  CcRetryPacer comeback;
   guint running;          /* attempts in the server */
   guint running_long;     /* long ones among them */
   gint64 running_cost[2]; /* expected time of usual and of long ones, us */
@@ -42,11 +42,12 @@
 
 void cc_load_init (CcLoad *l);
 void cc_load_clear (CcLoad *l);
-CcOffer cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now);
-CcWaiting *cc_load_next (CcLoad *l, CcMaySend may, gpointer data, gint64 now);
-void cc_load_done (CcLoad *l, const CcWaiting *w, CcLoadEnd end, gint64 now);
-gboolean cc_load_retry (CcLoad *l, CcWaiting *w, CcFailure f, gint64 now);
-gboolean cc_load_hedge (const CcLoad *l, const CcWaiting *w, gint64 now);
+CcOffer cc_load_offer (CcLoad *l, CcQueueEntry *w, gint64 now);
+CcQueueEntry *cc_load_next (CcLoad *l, CcMaySend may, gpointer data,
+                            gint64 now);
+void cc_load_done (CcLoad *l, const CcQueueEntry *w, CcLoadEnd end, gint64 now);
+gboolean cc_load_retry (CcLoad *l, CcQueueEntry *w, CcFailure f, gint64 now);
+gboolean cc_load_hedge (const CcLoad *l, const CcQueueEntry *w, gint64 now);
 void cc_load_stood_still (CcLoad *l, gint64 span);
 gboolean cc_load_stalled (const CcLoad *l, gint64 now);
 guint32 cc_load_wait_ms (const CcLoad *l, gint64 now);
--- a/mailbox.c
+++ b/mailbox.c
@@ -159,7 +159,7 @@
 {
   int id = g_atomic_int_get (&l->pipe);
 
-  switch (cc_link_look (&l->health, now))
+  switch (cc_link_poll (&l->health, now))
     {
     case CC_LINK_WAIT:
       break;
--- a/pick.c
+++ b/pick.c
@@ -154,7 +154,7 @@
       l->reached_at = now;
       count_end (l, 0.0, now);
       break;
-    case CC_PICK_TURNED_AWAY:
+    case CC_PICK_REJECTED:
       note_full (l, r->typical, now);
       count_end (l, 1.0, now);
       break;
@@ -169,7 +169,7 @@
       avoid (l, now);
       count_end (l, 1.0, now);
       break;
-    case CC_PICK_GIVEN_UP:
+    case CC_PICK_ABANDONED:
       break;
     }
 }
@@ -268,8 +268,8 @@
  * upstreams there is always one whose last report was low; what the pool has
  * inside tells whether that is still so. */
 gboolean
-cc_pick_has_room (const CcTargetLoad *l, const CcTypicalWork *typical,
-                  gint64 now)
+cc_pick_has_capacity (const CcTargetLoad *l, const CcTypicalWork *typical,
+                      gint64 now)
 {
   if (now < l->avoid_until)
     return FALSE;
--- a/pick.h
+++ b/pick.h
@@ -35,10 +35,10 @@
 {
   CC_PICK_ANSWERED,    /* with work done */
   CC_PICK_SHED,        /* it refused for its load */
-  CC_PICK_TURNED_AWAY, /* it reset the connection before it can have begun */
+  CC_PICK_REJECTED,    /* it reset the connection before it can have begun */
   CC_PICK_FAILED,      /* it failed, or broke off */
   CC_PICK_UNREACHABLE, /* no connection */
-  CC_PICK_GIVEN_UP     /* this entry ended it; tells nothing */
+  CC_PICK_ABANDONED    /* this entry ended it; tells nothing */
 } CcPickEnd;
 
 /* An upstream's own report on its load, from an answer. */
@@ -75,8 +75,8 @@
 double cc_pick_owner_inside (const CcTargetLoad *l,
                              const CcTypicalWork *typical, gint64 now);
 gboolean cc_pick_is_full (const CcTargetLoad *l, double inside, gint64 now);
-gboolean cc_pick_has_room (const CcTargetLoad *l, const CcTypicalWork *typical,
-                           gint64 now);
+gboolean cc_pick_has_capacity (const CcTargetLoad *l,
+                               const CcTypicalWork *typical, gint64 now);
 double cc_pick_slowness (const CcTargetLoad *l, gint64 now);
 double cc_pick_time (const CcTargetLoad *l, const CcTypicalWork *typical,
                      double inside, gint64 now);
--- a/pool_load.c
+++ b/pool_load.c
@@ -51,7 +51,8 @@
 /* An upstream of P reset a request.  It does so when it is full, but also when
  * it breaks; the first is believed while others say that requests wait. */
 void
-cc_pool_load_full (CcPoolLoad *p, CcPoolReport *last, double work, gint64 now)
+cc_pool_load_add_reset (CcPoolLoad *p, CcPoolReport *last, double work,
+                        gint64 now)
 {
   if (p->reports > 0 && p->inside > p->reports)
     cc_pool_load_add (p, last, p->most, work, now);
--- a/pool_load.h
+++ b/pool_load.h
@@ -25,8 +25,8 @@
 
 void cc_pool_load_add (CcPoolLoad *p, CcPoolReport *last, double inside,
                        double work, gint64 now);
-void cc_pool_load_full (CcPoolLoad *p, CcPoolReport *last, double work,
-                        gint64 now);
+void cc_pool_load_add_reset (CcPoolLoad *p, CcPoolReport *last, double work,
+                             gint64 now);
 double cc_pool_load_typical (const CcPoolLoad *p, gint64 now);
 
 #endif
--- a/queue.c
+++ b/queue.c
@@ -54,7 +54,7 @@
 static gint
 by_due (gconstpointer a, gconstpointer b, gpointer unused)
 {
-  const CcWaiting *x = a, *y = b;
+  const CcQueueEntry *x = a, *y = b;
 
   (void) unused;
   if (x->due != y->due)
@@ -115,7 +115,7 @@
 }
 
 static void
-add_sums (CcQueue *q, CcLane *lane, const CcWaiting *w, int sign)
+add_sums (CcQueue *q, CcLane *lane, const CcQueueEntry *w, int sign)
 {
   gint64 cost = sign * w->cost;
 
@@ -127,7 +127,7 @@
 
 /* Adds W, which stays the caller's and must not change while it waits. */
 void
-cc_queue_push (CcQueue *q, CcWaiting *w)
+cc_queue_push (CcQueue *q, CcQueueEntry *w)
 {
   CcLane *lane = find_lane (q, w->class_id);
 
@@ -143,7 +143,7 @@
 
 /* Takes W out if it is in Q. */
 void
-cc_queue_remove (CcQueue *q, CcWaiting *w)
+cc_queue_remove (CcQueue *q, CcQueueEntry *w)
 {
   if (w->place == NULL)
     return;
@@ -152,7 +152,7 @@
   add_sums (q, find_lane (q, w->class_id), w, -1);
 }
 
-static CcWaiting *
+static CcQueueEntry *
 first_sendable (GSequence *order, CcMaySend may, gpointer data)
 {
   GSequenceIter *i = g_sequence_get_begin_iter (order);
@@ -163,12 +163,12 @@
   return NULL;
 }
 
-static CcWaiting *
+static CcQueueEntry *
 first_of_lane (const CcLane *lane, gboolean long_too, CcMaySend may,
                gpointer data)
 {
-  CcWaiting *usual = first_sendable (lane->order[0], may, data);
-  CcWaiting *other =
+  CcQueueEntry *usual = first_sendable (lane->order[0], may, data);
+  CcQueueEntry *other =
       long_too ? first_sendable (lane->order[1], may, data) : NULL;
 
   if (usual == NULL || other == NULL)
@@ -179,16 +179,16 @@
 /* Takes out what is to be sent next, or returns NULL.  LONG_TOO: a slot for a
  * long job is free.  MAY (or NULL) tells what may be sent at all; it refuses
  * only jobs of a slice on the move, so the first is nearly always taken. */
-CcWaiting *
+CcQueueEntry *
 cc_queue_pop (CcQueue *q, gboolean long_too, CcMaySend may, gpointer data)
 {
   CcLane *best = NULL;
-  CcWaiting *next = NULL;
+  CcQueueEntry *next = NULL;
 
   for (guint i = 0; i < q->lanes->len; i++)
     {
       CcLane *lane = q->lanes->pdata[i];
-      CcWaiting *first;
+      CcQueueEntry *first;
 
       if (best != NULL && lane->tag >= best->tag)
         continue;
@@ -240,14 +240,14 @@
 
 /* Cost of what TENANT has waiting, us. */
 gint64
-cc_queue_of_tenant (const CcQueue *q, guint tenant)
+cc_queue_tenant_cost (const CcQueue *q, guint tenant)
 {
   return cost_of (q->tenants, tenant);
 }
 
 /* Cost of what waits for SLICE, us. */
 gint64
-cc_queue_of_slice (const CcQueue *q, guint slice)
+cc_queue_slice_cost (const CcQueue *q, guint slice)
 {
   return cost_of (q->slices, slice);
 }
@@ -258,7 +258,7 @@
   g_ptr_array_add (items, w);
 }
 
-/* All items (CcWaiting), class by class.  The caller unrefs the array. */
+/* All items (CcQueueEntry), class by class.  The caller unrefs the array. */
 GPtrArray *
 cc_queue_items (const CcQueue *q)
 {
--- a/queue.h
+++ b/queue.h
@@ -24,13 +24,13 @@
   guint tries;        /* attempts so far */
   gpointer item;      /* the queue's user's own */
   GSequenceIter *place; /* in the queue; NULL: not in it */
-} CcWaiting;
+} CcQueueEntry;
 
 /* The waiting requests of one class. */
 typedef struct
 {
   guint class_id;
-  GSequence *order[2]; /* of CcWaiting by due: usual jobs, long jobs */
+  GSequence *order[2]; /* of CcQueueEntry by due: usual jobs, long jobs */
   gint64 backlog[2];   /* sum of their costs, us */
   gint64 tag;          /* virtual time at which its next job starts, us */
   gint64 last_push;    /* us */
@@ -46,19 +46,19 @@
 } CcQueue;
 
 /* Whether W may be sent now. */
-typedef gboolean (*CcMaySend) (const CcWaiting *w, gpointer data);
+typedef gboolean (*CcMaySend) (const CcQueueEntry *w, gpointer data);
 
 void cc_queue_init (CcQueue *q);
 void cc_queue_clear (CcQueue *q);
-void cc_queue_push (CcQueue *q, CcWaiting *w);
-CcWaiting *cc_queue_pop (CcQueue *q, gboolean long_too, CcMaySend may,
-                         gpointer data);
-void cc_queue_remove (CcQueue *q, CcWaiting *w);
+void cc_queue_push (CcQueue *q, CcQueueEntry *w);
+CcQueueEntry *cc_queue_pop (CcQueue *q, gboolean long_too, CcMaySend may,
+                            gpointer data);
+void cc_queue_remove (CcQueue *q, CcQueueEntry *w);
 guint cc_queue_length (const CcQueue *q);
 const CcLane *cc_queue_lane (const CcQueue *q, guint class_id);
 guint cc_queue_active (const CcQueue *q, guint class_id, gint64 since);
-gint64 cc_queue_of_tenant (const CcQueue *q, guint tenant);
-gint64 cc_queue_of_slice (const CcQueue *q, guint slice);
+gint64 cc_queue_tenant_cost (const CcQueue *q, guint tenant);
+gint64 cc_queue_slice_cost (const CcQueue *q, guint slice);
 GPtrArray *cc_queue_items (const CcQueue *q);
 
 #endif
--- a/retry.c
+++ b/retry.c
@@ -47,7 +47,7 @@
 
 /* A first attempt of the class was made. */
 void
-cc_retries_first (CcRetries *r, guint class_id)
+cc_retries_earn (CcRetries *r, guint class_id)
 {
   guint *b = find_budget (r, class_id);
 
@@ -56,20 +56,20 @@
 
 /* Whether an attempt that ended in FAILURE after TRIES could be made again. */
 gboolean
-cc_retries_may (CcRetries *r, guint class_id, gboolean once_only,
-                CcFailure failure, guint tries)
+cc_retries_allowed (CcRetries *r, guint class_id, gboolean once_only,
+                    CcFailure failure, guint tries)
 {
   if (failure == CC_FAIL_UNKNOWN && once_only)
     return FALSE;
   return tries < TRIES_MAX && *find_budget (r, class_id) >= COST;
 }
 
-/* As cc_retries_may, and pays for it if so. */
+/* As cc_retries_allowed, and pays for it if so. */
 gboolean
 cc_retries_take (CcRetries *r, guint class_id, gboolean once_only,
                  CcFailure failure, guint tries)
 {
-  if (!cc_retries_may (r, class_id, once_only, failure, tries))
+  if (!cc_retries_allowed (r, class_id, once_only, failure, tries))
     return FALSE;
   *find_budget (r, class_id) -= COST;
   return TRUE;
--- a/retry.h
+++ b/retry.h
@@ -18,9 +18,9 @@
 
 void cc_retries_init (CcRetries *r);
 void cc_retries_clear (CcRetries *r);
-void cc_retries_first (CcRetries *r, guint class_id);
-gboolean cc_retries_may (CcRetries *r, guint class_id, gboolean once_only,
-                         CcFailure failure, guint tries);
+void cc_retries_earn (CcRetries *r, guint class_id);
+gboolean cc_retries_allowed (CcRetries *r, guint class_id, gboolean once_only,
+                             CcFailure failure, guint tries);
 gboolean cc_retries_take (CcRetries *r, guint class_id, gboolean once_only,
                           CcFailure failure, guint tries);
 
--- a/retry_budget.c
+++ b/retry_budget.c
@@ -25,7 +25,7 @@
 
 /* A first attempt was made: it earns a part of a repeat. */
 void
-cc_retry_budget_first (CcRetryBudget *b, const CcRetryBound *bound)
+cc_retry_budget_earn (CcRetryBudget *b, const CcRetryBound *bound)
 {
   b->tokens += bound->ratio * RATIO_PART;
 }
--- a/retry_budget.h
+++ b/retry_budget.h
@@ -20,7 +20,7 @@
   gint64 updated; /* us; 0: never */
 } CcRetryBudget;
 
-void cc_retry_budget_first (CcRetryBudget *b, const CcRetryBound *bound);
+void cc_retry_budget_earn (CcRetryBudget *b, const CcRetryBound *bound);
 gboolean cc_retry_budget_take (CcRetryBudget *b, const CcRetryBound *bound,
                                guint entries, gint64 now);
 
--- a/server.c
+++ b/server.c
@@ -90,7 +90,7 @@
   if (j->state == CC_JOB_ENDED)
     return;
   remember (s, j, r);
-  cc_waiters_forget (s->shared->waiters, j);
+  cc_waiters_remove (s->shared->waiters, j);
   cc_job_answer (j, s->shared->mailbox, r);
   cc_timer_stop (&j->timer);
 }
@@ -149,7 +149,7 @@
 static void
 describe (CcJob *j, const CcClass *class, gint64 left)
 {
-  CcWaiting *w = &j->waiting;
+  CcQueueEntry *w = &j->waiting;
 
   w->arrived = j->arrived;
   w->due = j->arrived + MIN (left, class->within);
@@ -226,7 +226,7 @@
 }
 
 static gboolean
-may_send (const CcWaiting *w, gpointer data)
+may_send (const CcQueueEntry *w, gpointer data)
 {
   const CcServer *s = data;
 
@@ -241,7 +241,7 @@
   while (cc_queue_length (&s->load.queue) > 0)
     {
       gint64 now = cc_clock_now ();
-      CcWaiting *w;
+      CcQueueEntry *w;
 
       if (!cc_server_may_serve (s, now))
         return;
@@ -358,7 +358,7 @@
 
   for (guint i = 0; i < items->len; i++)
     {
-      CcJob *j = ((CcWaiting *) items->pdata[i])->item;
+      CcJob *j = ((CcQueueEntry *) items->pdata[i])->item;
 
       if (!cc_holding_owns (s->holding, j->slice))
         drop_queued (s, j, "moved", MOVED_WAIT_MS, TRUE);
@@ -371,7 +371,7 @@
   g_autoptr (GPtrArray) items = cc_queue_items (&s->load.queue);
 
   for (guint i = 0; i < items->len; i++)
-    drop_queued (s, ((CcWaiting *) items->pdata[i])->item, reason, after_ms,
+    drop_queued (s, ((CcQueueEntry *) items->pdata[i])->item, reason, after_ms,
                  reroute);
 }
 
--- a/targets.c
+++ b/targets.c
@@ -135,7 +135,7 @@
 typedef struct
 {
   CcTargets *all;
-  const CcListed *listed;
+  const CcTargetsSource *listed;
   CcListingDecode decode;
   gint64 now;
   CcTargetChanged changed;
@@ -221,7 +221,7 @@
 static gboolean
 may_have_lapsed (const Update *u, const CcTarget *t)
 {
-  const CcListed *l = u->listed;
+  const CcTargetsSource *l = u->listed;
   gint64 outage = MIN (l->outage, t->missed_at);
 
   if (l->outage != 0 && t->vanished_at < outage &&
@@ -260,8 +260,9 @@
 /* Brings T up to LISTED.  Returns TRUE if it is to be called again soon, for
  * upstreams that are missing and may come back. */
 gboolean
-cc_targets_update (CcTargets *t, const CcListed *listed, CcListingDecode decode,
-                   gint64 now, CcTargetChanged changed, gpointer data)
+cc_targets_update (CcTargets *t, const CcTargetsSource *listed,
+                   CcListingDecode decode, gint64 now, CcTargetChanged changed,
+                   gpointer data)
 {
   Update u = { t, listed, decode, now, changed, data };
   g_autoptr (GPtrArray) rows = cc_view_rows (listed->view);
--- a/targets.h
+++ b/targets.h
@@ -62,7 +62,7 @@
   const CcVersionClock *clock; /* when they were written */
   gint64 outage;     /* the list's keeper last failed for all, us; 0: never */
   gint64 own_outage; /* ... or for this process or one that it follows */
-} CcListed;
+} CcTargetsSource;
 
 /* Decodes the value of the row KEY.  FALSE: it names no upstream to use. */
 typedef gboolean (*CcListingDecode) (const char *key, const char *value,
@@ -73,7 +73,7 @@
 void cc_listing_clear (CcListing *l);
 void cc_targets_init (CcTargets *t);
 void cc_targets_clear (CcTargets *t);
-gboolean cc_targets_update (CcTargets *t, const CcListed *listed,
+gboolean cc_targets_update (CcTargets *t, const CcTargetsSource *listed,
                             CcListingDecode decode, gint64 now,
                             CcTargetChanged changed, gpointer data);
 CcTarget *cc_targets_find (const CcTargets *t, const char *id);
--- a/test/bench_run.c
+++ b/test/bench_run.c
@@ -126,7 +126,7 @@
 pump (Run *run, guint server)
 {
   Server *s = &run->servers[server];
-  CcWaiting *w;
+  CcQueueEntry *w;
   Request *q;
 
   if (run->ours)
@@ -153,16 +153,16 @@
     g_queue_push_tail (&s->naive, q);
   else
     {
-      q->waiting = (CcWaiting){ .due = run->now + run->class->within,
-                                .arrived = run->now,
-                                .class_id = 1,
-                                .kind = 1 + (guint) q->is_long,
-                                .tenant = q->tenant + 1,
-                                .slice = q->key + 1,
-                                .within = run->class->within,
-                                .left = run->class->timeout,
-                                .once_only = run->class->once_only,
-                                .item = q };
+      q->waiting = (CcQueueEntry){ .due = run->now + run->class->within,
+                                   .arrived = run->now,
+                                   .class_id = 1,
+                                   .kind = 1 + (guint) q->is_long,
+                                   .tenant = q->tenant + 1,
+                                   .slice = q->key + 1,
+                                   .within = run->class->within,
+                                   .left = run->class->timeout,
+                                   .once_only = run->class->once_only,
+                                   .item = q };
       if (!cc_load_offer (&s->load, &q->waiting, run->now).admitted)
         refuse (run, q);
     }
@@ -278,7 +278,7 @@
       items = cc_queue_items (&l->queue);
       for (guint k = 0; k < items->len; k++)
         {
-          CcWaiting *w = items->pdata[k];
+          CcQueueEntry *w = items->pdata[k];
 
           cc_queue_remove (&l->queue, w);
           refuse (run, w->item);
--- a/test/bench_run.h
+++ b/test/bench_run.h
@@ -54,7 +54,7 @@
   guint key;
   gboolean is_long;
   gboolean is_silent;
-  CcWaiting waiting;
+  CcQueueEntry waiting;
   State state;
   gint64 expires;
   guint tries;
--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -767,7 +767,7 @@
 world_list_servers (Process *p, gint64 now)
 {
   CcVersionClock clock = { 0 };
-  CcListed listed = { .view = &p->view, .clock = &clock };
+  CcTargetsSource listed = { .view = &p->view, .clock = &clock };
   gboolean changed = FALSE;
 
   if (p->cut_from_table)
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -411,9 +411,10 @@
 static void
 update_targets (Node *n)
 {
-  CcListed listed = { cc_mirror_view (n->mirror, CC_TABLE_UPSTREAMS),
-                      cc_mirror_clock (n->mirror), cc_mirror_outage (n->mirror),
-                      cc_mirror_own_outage (n->mirror) };
+  CcTargetsSource listed = { cc_mirror_view (n->mirror, CC_TABLE_UPSTREAMS),
+                             cc_mirror_clock (n->mirror),
+                             cc_mirror_outage (n->mirror),
+                             cc_mirror_own_outage (n->mirror) };
   gint64 now = cc_clock_now ();
 
   n->targets_due =
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -11,7 +11,7 @@
 typedef struct
 {
   const char *name;
-  CcAdmissionAsk ask;
+  CcAdmissionRequest ask;
   CcAdmission verdict;
 } Case;
 
@@ -45,8 +45,8 @@
 static void
 test_comeback_is_paced (void **state)
 {
-  CcAdmissionAsk a = { 100000, 2000000, 4000, 0, 400000, 4, 0, 0 };
-  CcComeback c = { 0 };
+  CcAdmissionRequest a = { 100000, 2000000, 4000, 0, 400000, 4, 0, 0 };
+  CcRetryPacer c = { 0 };
   guint32 first = cc_admission_retry_after (&c, &a, CC_REFUSE_LATE, 0);
   guint32 last = 0;
 
@@ -68,7 +68,7 @@
 typedef struct
 {
   gint64 ends[SLOTS];
-  CcWaiting *runs[SLOTS];
+  CcQueueEntry *runs[SLOTS];
   guint late;
 } Server;
 
@@ -77,7 +77,7 @@
 {
   for (;;)
     {
-      CcWaiting *w;
+      CcQueueEntry *w;
       gint first = -1;
 
       for (gint i = 0; i < SLOTS; i++)
@@ -103,7 +103,7 @@
 run_seed (guint32 seed, guint *admitted)
 {
   GRand *rand = g_rand_new_with_seed (seed);
-  static CcWaiting jobs[JOBS];
+  static CcQueueEntry jobs[JOBS];
   Server s = { 0 };
   gint64 now = 0;
   CcLoad l;
@@ -113,12 +113,12 @@
     {
       now += g_rand_int_range (rand, 0, 1000);
       advance (&l, &s, now);
-      jobs[i] = (CcWaiting){ .due = now + WITHIN,
-                             .arrived = now,
-                             .tenant = (guint) g_rand_int_range (rand, 1, 9),
-                             .slice = i + 1,
-                             .within = WITHIN,
-                             .left = CC_SECOND };
+      jobs[i] = (CcQueueEntry){ .due = now + WITHIN,
+                                .arrived = now,
+                                .tenant = (guint) g_rand_int_range (rand, 1, 9),
+                                .slice = i + 1,
+                                .within = WITHIN,
+                                .left = CC_SECOND };
       *admitted += cc_load_offer (&l, &jobs[i], now).admitted;
       for (gint k = 0; k < SLOTS; k++)
         if (s.runs[k] == NULL &&
@@ -152,8 +152,8 @@
 static void
 test_stalled_server_refuses (void **state)
 {
-  CcWaiting a = { .due = WITHIN, .within = WITHIN, .left = CC_SECOND };
-  CcWaiting b = a;
+  CcQueueEntry a = { .due = WITHIN, .within = WITHIN, .left = CC_SECOND };
+  CcQueueEntry b = a;
   CcOffer offer;
   CcLoad l;
 
@@ -175,11 +175,11 @@
 static void
 test_cold_server_is_not_stalled (void **state)
 {
-  CcWaiting a = { .due = 300 * CC_MS,
-                  .within = 300 * CC_MS,
-                  .left = CC_SECOND };
-  CcWaiting b = a;
-  CcWaiting c = a;
+  CcQueueEntry a = { .due = 300 * CC_MS,
+                     .within = 300 * CC_MS,
+                     .left = CC_SECOND };
+  CcQueueEntry b = a;
+  CcQueueEntry c = a;
   CcLoad l;
 
   cc_load_init (&l);
@@ -203,7 +203,9 @@
   cc_load_init (&l);
   for (guint i = 0; i < 60; i++)
     {
-      CcWaiting w = { .within = WITHIN, .left = 2 * CC_SECOND, .arrived = now };
+      CcQueueEntry w = { .within = WITHIN,
+                         .left = 2 * CC_SECOND,
+                         .arrived = now };
 
       if (!cc_load_offer (&l, &w, now).admitted)
         fail_msg ("request %u was refused by an idle server", i);
--- a/test/test_choose.c
+++ b/test/test_choose.c
@@ -79,7 +79,7 @@
   g_autofree char *id = g_strdup_printf ("u%u", i);
   g_autofree char *value = g_strdup_printf ("%u %d", born, leaving);
   CcVersionClock clock = { .marks = { { 0, now } }, .count = 1 };
-  CcListed listed = { .view = &w->view, .clock = &clock };
+  CcTargetsSource listed = { .view = &w->view, .clock = &clock };
 
   cc_view_put (&w->view, id, ++version, value);
   cc_targets_update (&w->targets, &listed, decode, now, ignore_change, NULL);
--- a/test/test_connection_health.c
+++ b/test/test_connection_health.c
@@ -31,7 +31,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       CcConnectionHealth h = { .proven = cases[i].proven * CC_MS };
-      CcConnectionAction got = cc_connection_judge (
+      CcConnectionAction got = cc_connection_classify (
           &h, 1000 * CC_MS, cases[i].expected * CC_MS, cases[i].now * CC_MS);
 
       if (got != cases[i].action)
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -371,7 +371,7 @@
                              .zone = "a",
                              .retry_bound = { 0.2, 100, 10 * CC_SECOND } };
   CcVersionClock clock = { 0 };
-  CcListed listed = { .view = &w->view, .clock = &clock };
+  CcTargetsSource listed = { .view = &w->view, .clock = &clock };
 
   memset (w, 0, sizeof *w);
   net.calls = g_queue_new ();
@@ -557,7 +557,7 @@
       g_autofree char *key = cc_key_range_key ("booking", r);
       g_autofree char *text = cc_key_range_text (r);
       CcVersionClock clock = { 0 };
-      CcListed listed = { .clock = &clock };
+      CcTargetsSource listed = { .clock = &clock };
       g_autoptr (GPtrArray) changed = NULL;
       Outcome o = { 0 };
       World w;
--- a/test/test_grant_time.c
+++ b/test/test_grant_time.c
@@ -61,7 +61,7 @@
 {
   CcView view;
   CcVersionClock clock = { 0 };
-  CcListed listed = { .view = &view, .clock = &clock };
+  CcTargetsSource listed = { .view = &view, .clock = &clock };
 
   cc_targets_init (t);
   cc_view_init (&view);
--- a/test/test_hedge.c
+++ b/test/test_hedge.c
@@ -11,7 +11,7 @@
 typedef struct
 {
   const char *name;
-  CcHedgeAsk ask;
+  CcHedgeAttempt ask;
   gboolean again;
 } Case;
 
@@ -34,9 +34,9 @@
 }
 
 static void
-answer (CcLoad *l, CcWaiting *w, gint64 now)
+answer (CcLoad *l, CcQueueEntry *w, gint64 now)
 {
-  *w = (CcWaiting){ .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
+  *w = (CcQueueEntry){ .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
   assert_true (cc_load_offer (l, w, now).admitted);
   assert_ptr_equal (cc_load_next (l, NULL, NULL, now), w);
   cc_load_done (l, w, CC_LOAD_ANSWERED, now + 4 * CC_MS);
@@ -49,8 +49,8 @@
 static void
 test_silent_connection (void **state)
 {
-  CcWaiting silent = { .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
-  CcWaiting other;
+  CcQueueEntry silent = { .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
+  CcQueueEntry other;
   guint limit;
   CcLoad l;
 
--- a/test/test_isolation.c
+++ b/test/test_isolation.c
@@ -68,7 +68,7 @@
       gint64 now)
 {
   CcVersionClock clock = { 0 };
-  CcListed listed = { .view = &w->view, .clock = &clock };
+  CcTargetsSource listed = { .view = &w->view, .clock = &clock };
 
   for (guint i = 0; i < n; i++)
     {
--- a/test/test_link_health.c
+++ b/test/test_link_health.c
@@ -40,7 +40,7 @@
       break;
     case 'I':
       for (guint i = 0; i < 30; i++, *now += CC_PING_PERIOD)
-        if (cc_link_look (h, *now) == CC_LINK_PING)
+        if (cc_link_poll (h, *now) == CC_LINK_PING)
           cc_link_answered (h, h->sequence, *now);
       break;
     default:
@@ -82,7 +82,7 @@
       for (const char *s = cases[i].script; *s != '\0'; s++, look++)
         {
           act (&h, *s, &now);
-          if (cc_link_look (&h, now) == CC_LINK_SILENT && silent < 0)
+          if (cc_link_poll (&h, now) == CC_LINK_SILENT && silent < 0)
             {
               silent = look;
               cc_link_lost (&h);
@@ -106,7 +106,7 @@
   (void) state;
   cc_link_connected (&h, 0);
   for (gint64 now = 0; now < 62 * CC_SECOND; now += CC_PING_PERIOD)
-    if (cc_link_look (&h, now) == CC_LINK_PING)
+    if (cc_link_poll (&h, now) == CC_LINK_PING)
       {
         pings += now >= 2 * CC_SECOND;
         cc_link_answered (&h, h.sequence, now);
--- a/test/test_overload.c
+++ b/test/test_overload.c
@@ -189,9 +189,9 @@
                       (double) (result.report.running + result.report.waiting) /
                           SLOTS,
                       typical_of (e, now).any, now);
-  else if (end != CC_PICK_GIVEN_UP)
-    cc_pool_load_full (&e->load, &e->seen[r->at].load.in_pool,
-                       typical_of (e, now).any, now);
+  else if (end != CC_PICK_ABANDONED)
+    cc_pool_load_add_reset (&e->load, &e->seen[r->at].load.in_pool,
+                            typical_of (e, now).any, now);
   cc_backlog_ended (&e->backlog, now);
 }
 
@@ -265,7 +265,7 @@
   note_end (w, r,
             (double) (now - r->sent) <
                     0.25 * typical_of (&w->entries[r->entry], now).kind
-                ? CC_PICK_TURNED_AWAY
+                ? CC_PICK_REJECTED
                 : CC_PICK_FAILED,
             now);
   lose (w, r, now);
@@ -341,10 +341,10 @@
   CcChoice c = choice_of (e, NULL, now);
   CcTarget *owner = &e->seen[r->owner];
 
-  if (cc_choose_has_room (&c, owner, now))
+  if (cc_choose_has_capacity (&c, owner, now))
     send_to (w, r, r->owner, now);
   else
-    refuse (w, r, cc_choose_room_at (&c, owner, now) - now, now);
+    refuse (w, r, cc_choose_capacity_at (&c, owner, now) - now, now);
 }
 
 static void
@@ -375,7 +375,7 @@
       r->asks++;
       r->began = now;
       r->limit = MIN (now + TIMEOUT, r->asked + DEADLINE);
-      cc_retry_budget_first (&w->entries[r->entry].budget, &bound);
+      cc_retry_budget_earn (&w->entries[r->entry].budget, &bound);
     }
   if (w->c->keyed)
     ask_keyed (w, r, now);
@@ -398,7 +398,7 @@
 static void
 give_up (World *w, Request *r, gint64 now)
 {
-  note_end (w, r, CC_PICK_GIVEN_UP, now);
+  note_end (w, r, CC_PICK_ABANDONED, now);
   finish (w, r, &w->result.failed);
 }
 
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -187,7 +187,7 @@
 refuse (World *w, Request *r, const CcChoice *c, gint64 now)
 {
   gint64 left = r->asked + DEADLINE - now;
-  gint64 wait = cc_choose_room_at (c, &w->seen[r->entry], now) - now;
+  gint64 wait = cc_choose_capacity_at (c, &w->seen[r->entry], now) - now;
   gint64 after = cc_backlog_retry_after (wait, left, g_rand_double (w->rand));
 
   if (r->tries > 1 || after > left / 3)
@@ -228,7 +228,7 @@
   r->tries++;
   owner = &w->seen[r->entry];
   c = choice (w, r->entry);
-  if (!cc_choose_has_room (&c, owner, now))
+  if (!cc_choose_has_capacity (&c, owner, now))
     {
       refuse (w, r, &c, now);
       return;
@@ -244,7 +244,7 @@
       g_ptr_array_add (w->inside, r);
       return;
     }
-  note_end (w, r, CC_PICK_TURNED_AWAY, now);
+  note_end (w, r, CC_PICK_REJECTED, now);
   repeat (w, r, now);
 }
 
--- a/test/test_pick.c
+++ b/test/test_pick.c
@@ -125,7 +125,7 @@
       const CcTargetLoad *l = &w->seen[entry][s];
       double cost;
 
-      if (!cc_pick_has_room (l, &t, now))
+      if (!cc_pick_has_capacity (l, &t, now))
         continue;
       cost =
           cc_pick_cost (l, &t, 0, now) * (1.0 + 0.02 * g_rand_double (w->rand));
@@ -309,8 +309,8 @@
   cc_pick_sent (&l, &typical, 0);
   cc_pick_ended (&l, &lost, now);
   first = l.avoid_until - now;
-  assert_false (cc_pick_has_room (&l, &typical, now));
-  assert_true (cc_pick_has_room (&l, &typical, l.avoid_until));
+  assert_false (cc_pick_has_capacity (&l, &typical, now));
+  assert_true (cc_pick_has_capacity (&l, &typical, l.avoid_until));
   now = l.avoid_until;
   cc_pick_sent (&l, &typical, 0);
   cc_pick_ended (&l, &lost, now);
@@ -319,7 +319,7 @@
   now = l.avoid_until;
   cc_pick_sent (&l, &typical, 0);
   cc_pick_ended (&l, &answered, now);
-  assert_true (cc_pick_has_room (&l, &typical, now));
+  assert_true (cc_pick_has_capacity (&l, &typical, now));
   assert_int_equal (l.avoid_span, 0);
 }
 
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -55,7 +55,7 @@
   for (guint i = 0; i < c->repeated; i++)
     cc_pool_load_add (&p, &reports[u - 1], c->load, WORK, START);
   for (guint i = 0; i < c->resets; i++)
-    cc_pool_load_full (&p, &reports[u++], WORK, START);
+    cc_pool_load_add_reset (&p, &reports[u++], WORK, START);
   return cc_pool_load_typical (&p, START + c->after);
 }
 
--- a/test/test_queue.c
+++ b/test/test_queue.c
@@ -16,13 +16,13 @@
 
 typedef struct
 {
-  GPtrArray *all; /* of CcWaiting */
+  GPtrArray *all; /* of CcQueueEntry */
   gint64 tags[CLASSES];
   gint64 virtual_time;
 } Naive;
 
 static gboolean
-goes_before (const Naive *n, const CcWaiting *a, const CcWaiting *b)
+goes_before (const Naive *n, const CcQueueEntry *a, const CcQueueEntry *b)
 {
   if (a->class_id != b->class_id)
     return n->tags[a->class_id] < n->tags[b->class_id] ||
@@ -33,14 +33,14 @@
   return a->arrived < b->arrived;
 }
 
-static CcWaiting *
+static CcQueueEntry *
 naive_pop (Naive *n, gboolean long_too)
 {
-  CcWaiting *best = NULL;
+  CcQueueEntry *best = NULL;
 
   for (guint i = 0; i < n->all->len; i++)
     {
-      CcWaiting *w = n->all->pdata[i];
+      CcQueueEntry *w = n->all->pdata[i];
 
       if ((long_too || !w->is_long) &&
           (best == NULL || goes_before (n, w, best)))
@@ -55,12 +55,12 @@
 }
 
 static void
-naive_push (Naive *n, CcWaiting *w)
+naive_push (Naive *n, CcQueueEntry *w)
 {
   gboolean waits = FALSE;
 
   for (guint i = 0; i < n->all->len; i++)
-    waits |= ((CcWaiting *) n->all->pdata[i])->class_id == w->class_id;
+    waits |= ((CcQueueEntry *) n->all->pdata[i])->class_id == w->class_id;
   if (!waits)
     n->tags[w->class_id] = MAX (n->tags[w->class_id], n->virtual_time);
   g_ptr_array_add (n->all, w);
@@ -72,36 +72,36 @@
   gint64 sum = 0;
 
   for (guint i = 0; i < n->all->len; i++)
-    if (((CcWaiting *) n->all->pdata[i])->tenant == tenant)
-      sum += ((CcWaiting *) n->all->pdata[i])->cost;
+    if (((CcQueueEntry *) n->all->pdata[i])->tenant == tenant)
+      sum += ((CcQueueEntry *) n->all->pdata[i])->cost;
   return sum;
 }
 
 static void
-draw (GRand *rand, CcWaiting *w, gint64 arrived)
+draw (GRand *rand, CcQueueEntry *w, gint64 arrived)
 {
-  *w = (CcWaiting){ .due = g_rand_int_range (rand, 0, 20),
-                    .arrived = arrived,
-                    .cost = g_rand_int_range (rand, 1, 9),
-                    .is_long = g_rand_int_range (rand, 0, 4) == 0,
-                    .class_id = (guint) g_rand_int_range (rand, 0, CLASSES),
-                    .tenant = (guint) g_rand_int_range (rand, 1, 4) };
+  *w = (CcQueueEntry){ .due = g_rand_int_range (rand, 0, 20),
+                       .arrived = arrived,
+                       .cost = g_rand_int_range (rand, 1, 9),
+                       .is_long = g_rand_int_range (rand, 0, 4) == 0,
+                       .class_id = (guint) g_rand_int_range (rand, 0, CLASSES),
+                       .tenant = (guint) g_rand_int_range (rand, 1, 4) };
 }
 
 /* Ends the test with the seed that failed. */
 static void
-expect_same (const CcWaiting *ours, const CcWaiting *naive)
+expect_same (const CcQueueEntry *ours, const CcQueueEntry *naive)
 {
   if (ours != naive)
     fail_msg ("seed %u: another job was taken", current_seed);
 }
 
 static void
-step (GRand *rand, CcQueue *q, Naive *n, CcWaiting *jobs, guint *used)
+step (GRand *rand, CcQueue *q, Naive *n, CcQueueEntry *jobs, guint *used)
 {
   gint what = g_rand_int_range (rand, 0, 5);
   gboolean long_too = g_rand_boolean (rand);
-  CcWaiting *w;
+  CcQueueEntry *w;
 
   if (what < 3 && *used < JOBS)
     {
@@ -126,15 +126,15 @@
 {
   GRand *rand = g_rand_new_with_seed (seed);
   Naive n = { .all = g_ptr_array_new () };
-  CcWaiting jobs[JOBS];
-  CcWaiting first[CLASSES];
+  CcQueueEntry jobs[JOBS];
+  CcQueueEntry first[CLASSES];
   guint used = 0;
   CcQueue q;
 
   cc_queue_init (&q);
   for (guint i = 0; i < CLASSES; i++)
     {
-      first[i] = (CcWaiting){ .class_id = i, .cost = 1 };
+      first[i] = (CcQueueEntry){ .class_id = i, .cost = 1 };
       cc_queue_push (&q, &first[i]);
       cc_queue_remove (&q, &first[i]);
     }
@@ -142,7 +142,7 @@
     {
       step (rand, &q, &n, jobs, &used);
       assert_int_equal (cc_queue_length (&q), n.all->len);
-      assert_int_equal (cc_queue_of_tenant (&q, 1), naive_tenant (&n, 1));
+      assert_int_equal (cc_queue_tenant_cost (&q, 1), naive_tenant (&n, 1));
     }
   cc_queue_clear (&q);
   g_ptr_array_unref (n.all);
@@ -164,15 +164,17 @@
 static void
 test_flood_does_not_starve (void **state)
 {
-  static CcWaiting browse[1000];
-  CcWaiting book = { .class_id = 1, .cost = 12, .due = 250, .arrived = 1000 };
+  static CcQueueEntry browse[1000];
+  CcQueueEntry book = {
+    .class_id = 1, .cost = 12, .due = 250, .arrived = 1000
+  };
   guint before = 0;
   CcQueue q;
 
   cc_queue_init (&q);
   for (guint i = 0; i < 1000; i++)
     {
-      browse[i] = (CcWaiting){ .cost = 4, .due = 100, .arrived = i };
+      browse[i] = (CcQueueEntry){ .cost = 4, .due = 100, .arrived = i };
       cc_queue_push (&q, &browse[i]);
     }
   cc_queue_pop (&q, TRUE, NULL, NULL);
@@ -184,7 +186,7 @@
 }
 
 static gboolean
-is_of_slice_2 (const CcWaiting *w, gpointer data)
+is_of_slice_2 (const CcQueueEntry *w, gpointer data)
 {
   return w->slice == 2;
 }
@@ -193,8 +195,8 @@
 static void
 test_passes_by_what_may_not_go (void **state)
 {
-  CcWaiting a = { .slice = 1, .due = 1, .cost = 1 };
-  CcWaiting b = { .slice = 2, .due = 2, .cost = 1 };
+  CcQueueEntry a = { .slice = 1, .due = 1, .cost = 1 };
+  CcQueueEntry b = { .slice = 2, .due = 2, .cost = 1 };
   CcQueue q;
 
   cc_queue_init (&q);
@@ -202,7 +204,7 @@
   cc_queue_push (&q, &b);
   assert_ptr_equal (cc_queue_pop (&q, TRUE, is_of_slice_2, NULL), &b);
   assert_null (cc_queue_pop (&q, TRUE, is_of_slice_2, NULL));
-  assert_int_equal (cc_queue_of_slice (&q, 1), 1);
+  assert_int_equal (cc_queue_slice_cost (&q, 1), 1);
   cc_queue_clear (&q);
 }
 
--- a/test/test_retry.c
+++ b/test/test_retry.c
@@ -56,7 +56,7 @@
       cc_retries_init (&r);
       for (guint i = 1; i <= 1000; i++)
         {
-          cc_retries_first (&r, 1);
+          cc_retries_earn (&r, 1);
           if (g_rand_double (rand) < failing)
             retries += cc_retries_take (&r, 1, FALSE, CC_FAIL_UNKNOWN, 1);
           if (retries > i / 10 + 10)
--- a/test/test_routes.c
+++ b/test/test_routes.c
@@ -117,7 +117,7 @@
     *budget = (CcRetryBudget){ 0 };
   *requests += n;
   for (guint i = 0; i < n; i++)
-    cc_retry_budget_first (budget, &bound);
+    cc_retry_budget_earn (budget, &bound);
   while (cc_retry_budget_take (budget, &bound, ENTRIES, now))
     ++*repeats;
 }
--- a/test/test_targets.c
+++ b/test/test_targets.c
@@ -89,9 +89,9 @@
            gint64 now)
 {
   CcVersionClock lately = { .marks = { { 0, now - 200 * CC_MS } }, .count = 1 };
-  CcListed listed = { .view = v,
-                      .clock = clock != NULL ? clock : &lately,
-                      .outage = outage };
+  CcTargetsSource listed = { .view = v,
+                             .clock = clock != NULL ? clock : &lately,
+                             .outage = outage };
 
   cc_targets_update (t, &listed, decode, now, count_change, NULL);
 }
--- a/waiters.c
+++ b/waiters.c
@@ -34,7 +34,7 @@
 
 /* Takes all of J's waiters out of TABLE; to be called before they are freed. */
 void
-cc_waiters_forget (GHashTable *table, const CcJob *j)
+cc_waiters_remove (GHashTable *table, const CcJob *j)
 {
   for (guint i = 0; i < j->waiters->len; i++)
     g_hash_table_remove (table, j->waiters->pdata[i]);
--- a/waiters.h
+++ b/waiters.h
@@ -6,7 +6,7 @@
 
 GHashTable *cc_waiters_new (void);
 void cc_waiters_add (GHashTable *table, CcJob *j);
-void cc_waiters_forget (GHashTable *table, const CcJob *j);
+void cc_waiters_remove (GHashTable *table, const CcJob *j);
 CcJob *cc_waiters_take (GHashTable *table, guint64 incarnation, guint64 id);
 
 #endif
