--- a/choose.c
+++ b/choose.c
@@ -1,31 +1,33 @@
-/* Requests without a key go to the upstream from which an answer is to be
- * expected soonest (pick.h); those with one only to the key's owner. */
+/* Requests without a key go to the upstream with the shortest expected
+ * response time (pick.h), requests with a key only to the key's owner. */
 #include "choose.h"
 
-/* Part of its target that the way to another zone is worth: an answer within
- * the target is as good late as early, and bytes between zones are dear.  Half
- * of it is left to chance, as times vary by about their mean.  Measured over a
- * dozen days against 0.3: 7% fewer bytes between zones, as many answers in
- * time. */
-#define CROSS_ZONE_PART 0.5
-/* A request for a key is sent to its owner while an answer is to be expected
- * within this many targets: the estimate is off by a third either way, and who
- * is refused comes back late more often than who is sent. */
-#define OWNER_LATE 1.3
+/* Penalty for another zone, as a part of the latency target: bytes between
+ * zones are expensive, and any response within the target is equally good.
+ * The other half of the target is left for variance, since times deviate by
+ * about their mean.  Measured over twelve days, 0.5 sent 7% fewer bytes
+ * between zones than 0.3 and answered as many requests in time. */
+#define CROSS_ZONE_PENALTY 0.5
+/* A request for a key is sent to its owner while the expected response time is
+ * within this many latency targets.  The estimate is off by a third either
+ * way, and a refused request is late after its return more often than one that
+ * is sent. */
+#define OWNER_TARGETS_MAX 1.3
 
-/* What the way to T is worth avoiding, us.  An answer within the target is as
- * good late as early, so one from near is preferred as long as the difference
- * is a small part of the target; bytes between zones are dear. */
+/* Returns the penalty for sending to T's zone, us; 0 in the same zone.  Any
+ * response within the target is equally good, and bytes between zones are
+ * expensive, so a near upstream is preferred as long as the difference is a
+ * small part of the target. */
 static double
 cross_zone_cost (const CcChoice *c, const CcTarget *t)
 {
   return g_str_equal (t->listing.zone, c->zone)
              ? 0.0
-             : CROSS_ZONE_PART * (double) c->target_time;
+             : CROSS_ZONE_PENALTY * (double) c->target_time;
 }
 
-/* Until when T counts as unreachable, us; 0: it does not, even if it has no
- * room now. */
+/* Returns until when T counts as unreachable, us; 0 if it is reachable, even
+ * without capacity. */
 static gint64
 unreachable_until (const CcTarget *t, gint64 now)
 {
@@ -34,8 +36,8 @@
              : 0;
 }
 
-/* The upstream with room that answers soonest; one that was tried only if there
- * is no other. */
+/* Chooses the upstream with capacity and the lowest cost among those of the
+ * pool.  One that was tried before is chosen only if there is no other. */
 CcChosen
 cc_choose_any (const CcChoice *c, gint64 now)
 {
@@ -43,7 +45,7 @@
   CcChosen chosen = { 0 };
   double least = 0;
   gboolean untried = FALSE;
-  gint64 soonest = G_MAXINT64; /* at which one may be reached */
+  gint64 reachable_at = G_MAXINT64; /* of the first one, us; 0: now */
 
   for (guint i = 0; all != NULL && i < all->len; i++)
     {
@@ -54,12 +56,13 @@
       if (t->state != CC_TARGET_READY)
         continue;
       chosen.considered = t;
-      soonest = MIN (soonest, unreachable_until (t, now));
+      reachable_at = MIN (reachable_at, unreachable_until (t, now));
       if ((tried && untried) ||
           !cc_pick_has_capacity (&t->load, &c->typical, now))
         continue;
       cost = cc_pick_cost (&t->load, &c->typical, cross_zone_cost (c, t), now);
-      /* Equal ones are told apart by lot, or all entries take the first. */
+      /* Random factor: without it, all entries pick the first of several equal
+       * ones. */
       cost *= 1.0 + 0.02 * g_random_double ();
       if (chosen.target == NULL || cost < least || (!tried && !untried))
         {
@@ -69,11 +72,12 @@
       untried |= !tried;
     }
   if (chosen.considered != NULL)
-    chosen.reachable_at = soonest;
+    chosen.reachable_at = reachable_at;
   return chosen;
 }
 
-/* The owner of KEY by RANGES, whether or not it has room. */
+/* Chooses the owner of KEY by RANGES, whether or not it has capacity.  No
+ * upstream is chosen while the key moves to another owner. */
 CcChosen
 cc_choose_owner (const CcChoice *c, const CcKeyRanges *ranges, gint32 key,
                  gint64 now)
@@ -91,21 +95,21 @@
   if (t == NULL || !cc_targets_serves_keys (c->targets, t, now))
     return chosen;
   chosen.considered = t;
-  /* It was started again: its keys are on their way to it. */
+  /* The owner was restarted and has not been given its keys again yet. */
   chosen.moving = t->listing.born != r->born;
   if (!chosen.moving)
     chosen.target = t;
   return chosen;
 }
 
-/* How many requests are inside OWNER. */
+/* Returns the estimated number of requests inside OWNER. */
 static double
 owner_inside (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
   return cc_pick_owner_inside (&owner->load, &c->typical, now);
 }
 
-/* The time after which an answer from OWNER is to be expected, us. */
+/* Returns the expected response time of OWNER, us. */
 static double
 owner_time (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
@@ -113,9 +117,9 @@
                        now);
 }
 
-/* Whether OWNER, which alone can serve the request, is to be sent to it now: as
- * long as the answer is to be expected in time, however many wait inside; with
- * a free slot, in any case. */
+/* Returns whether a request that only OWNER can serve is sent to it now: with
+ * a free slot always, otherwise while the expected response time is within the
+ * bound, however many wait inside. */
 gboolean
 cc_choose_has_capacity (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
@@ -123,17 +127,18 @@
       cc_pick_is_full (&owner->load, owner_inside (c, owner, now), now))
     return FALSE;
   return owner_inside (c, owner, now) < owner->load.slots ||
-         owner_time (c, owner, now) <= OWNER_LATE * (double) c->target_time;
+         owner_time (c, owner, now) <=
+             OWNER_TARGETS_MAX * (double) c->target_time;
 }
 
-/* When OWNER, which is full, has room again if nothing else is sent to it, us:
- * its queue has shrunk by what is too much of it, and by one request at least.
- */
+/* Returns when OWNER, which is full, has capacity again, us, if nothing else
+ * is sent to it: when the excess part of its queue has been served, or one
+ * request at least. */
 gint64
 cc_choose_capacity_at (const CcChoice *c, const CcTarget *owner, gint64 now)
 {
   double excess =
-      owner_time (c, owner, now) - OWNER_LATE * (double) c->target_time;
+      owner_time (c, owner, now) - OWNER_TARGETS_MAX * (double) c->target_time;
   double one = c->typical.any * cc_pick_slowness (&owner->load, now) /
                MAX (owner->load.slots, 1);
 
--- a/choose.h
+++ b/choose.h
@@ -1,28 +1,29 @@
-/* Which upstream one request goes to. */
+/* Chooses the upstream that a request is sent to. */
 #ifndef CC_CHOOSE_H
 #define CC_CHOOSE_H
 
 #include "key_ranges.h"
 #include "targets.h"
 
-/* What the choice for one request goes by. */
+/* Input of the choice for one request. */
 typedef struct
 {
   const CcTargets *targets;
   const char *pool;
   const char *zone;       /* of this instance */
-  const GPtrArray *tried; /* upstreams that it was sent to (CcTarget) */
-  gint64 target_time;     /* within which an answer is wanted, us */
-  CcTypicalWork typical;  /* at the pool's upstreams */
+  const GPtrArray *tried; /* upstreams it was already sent to (CcTarget) */
+  gint64 target_time;     /* latency target of the request, us */
+  CcTypicalWork typical;  /* of the pool's upstreams */
 } CcChoice;
 
-/* An upstream, or why there is none. */
+/* Result of the choice: an upstream, or the reason why there is none. */
 typedef struct
 {
-  CcTarget *target;     /* NULL: none may be sent to now */
-  CcTarget *considered; /* the last that was looked at; NULL: there is none */
-  gboolean moving;      /* the key's range is changing hands */
-  gint64 reachable_at;  /* no upstream can be reached before, us; 0: some can */
+  CcTarget *target;     /* NULL: none can be sent to now */
+  CcTarget *considered; /* last candidate; NULL: there was none */
+  gboolean moving;      /* the key's range is being moved between owners */
+  gint64
+      reachable_at; /* no upstream is reachable before, us; 0: some are now */
 } CcChosen;
 
 CcChosen cc_choose_any (const CcChoice *c, gint64 now);
--- a/pick.h
+++ b/pick.h
@@ -1,47 +1,49 @@
-/* Which upstream a request goes to, from what one entry knows of each. */
+/* Estimates the load, speed and failure rate of one upstream, from what one
+ * entry observes, and the cost of sending a request to it. */
 #ifndef CC_PICK_H
 #define CC_PICK_H
 
 #include "pool_load.h"
 
-/* What this entry knows of one upstream's load. */
+/* The load of one upstream as this entry estimates it. */
 typedef struct
 {
-  guint slots;           /* requests it works on at once */
-  guint mine;            /* attempts of this entry in it */
-  double others;         /* attempts of others in it, when it last said */
-  double others_typical; /* their mean over a longer time */
-  gint64 others_at;      /* when it last said, us; 0: never */
-  double held;           /* most requests that it said to have inside */
-  double full_from;    /* it turns away from so many inside on; 0: not known */
-  gint64 full_at;      /* when it last did, us */
-  double slowness_sum; /* of its answers' times, as parts of the typical ones,
-                          faded */
-  double slowness_weight; /* how many answers that stands for, faded */
-  gint64 slowness_at;     /* when that was last added to, us */
-  double work_unreported; /* of its answers since the last report, us */
+  guint slots;            /* requests that it works on at once */
+  guint in_flight;        /* attempts of this entry that are inside it */
+  double remote;          /* attempts of other entries by its last report */
+  double remote_mean;     /* moving mean of that over the reports */
+  gint64 reported_at;     /* time of the last report, us; 0: never */
+  double max_reported;    /* most requests inside that it ever reported */
+  double reject_from;     /* limit above which it rejects; 0: unknown */
+  gint64 rejected_at;     /* when it last rejected one, us */
+  double slowness_sum;    /* decayed sum of its response times relative to the
+                             typical ones */
+  double slowness_weight; /* decayed number of responses in that sum */
+  gint64 slowness_at;     /* when a response was last added, us */
+  double work_unreported; /* work of its responses since this entry's last
+                             report to the granter, us */
   guint answers_unreported;
-  double failures;      /* share of attempts that failed lately, 0 to 1 */
-  gint64 failures_at;   /* when an attempt last ended, us */
-  gint64 cold_until;    /* slow for having just started, us */
-  gint64 avoid_until;   /* not reachable or shedding: not before, us */
-  gint64 avoid_span;    /* of the last such time, us */
-  gint64 reached_at;    /* it last answered, us; 0: never */
-  CcPoolReport in_pool; /* its part of its pool's load */
+  double failures;    /* decayed share of attempts that failed, 0 to 1 */
+  gint64 failures_at; /* end of the last attempt, us */
+  gint64 cold_until;  /* counted as slow after its start until then, us */
+  gint64 avoid_until; /* unreachable or shedding: no attempts until then, us */
+  gint64 avoid_span;  /* length of the last backoff for being unreachable, us */
+  gint64 reached_at;  /* time of its last response, us; 0: never */
+  CcPoolReport in_pool; /* its last contribution to the pool's load */
 } CcTargetLoad;
 
-/* How an attempt at it ended. */
+/* How an attempt ended. */
 typedef enum
 {
-  CC_PICK_ANSWERED,    /* with work done */
-  CC_PICK_SHED,        /* it refused for its load */
-  CC_PICK_REJECTED,    /* it reset the connection before it can have begun */
-  CC_PICK_FAILED,      /* it failed, or broke off */
-  CC_PICK_UNREACHABLE, /* no connection */
-  CC_PICK_ABANDONED    /* this entry ended it; tells nothing */
+  CC_PICK_ANSWERED,    /* with a response */
+  CC_PICK_SHED,        /* refused by the upstream because of its load */
+  CC_PICK_REJECTED,    /* connection reset before the work can have begun */
+  CC_PICK_FAILED,      /* error, or connection broken off */
+  CC_PICK_UNREACHABLE, /* no connection could be made */
+  CC_PICK_ABANDONED    /* ended by this entry; no information on the upstream */
 } CcPickEnd;
 
-/* An upstream's own report on its load, from an answer. */
+/* An upstream's report on its own load, taken from a response. */
 typedef struct
 {
   gboolean said;
@@ -49,22 +51,22 @@
   guint waiting;
 } CcLoadReport;
 
-/* What is usual at a pool's upstreams. */
+/* Typical values of the upstreams of a pool. */
 typedef struct
 {
-  double kind;   /* time that work of the request's own kind takes, us */
-  double any;    /* ... and work of any kind that the pool gets, us */
-  double inside; /* requests inside one for each of its slots, lately */
+  double kind;   /* work time of the request's own kind, us */
+  double any;    /* mean work time of all kinds, us */
+  double inside; /* recent requests inside one upstream per slot */
 } CcTypicalWork;
 
-/* What an attempt showed. */
+/* Result of one attempt. */
 typedef struct
 {
   CcPickEnd end;
-  gint64 took;         /* us */
-  double work_share;   /* part of that which was work, by estimate */
-  double typical;      /* time that work of its kind usually takes, us */
-  CcLoadReport report; /* of the upstream */
+  gint64 took;         /* duration, us */
+  double work_share;   /* estimated part of it that was work, not waiting */
+  double typical;      /* typical work time of its kind, us */
+  CcLoadReport report; /* of the upstream; said FALSE: none */
 } CcPickResult;
 
 double cc_pick_sent (CcTargetLoad *l, const CcTypicalWork *typical,
--- a/targets.c
+++ b/targets.c
@@ -108,14 +108,14 @@
     }
   else if (!same_life (&t->listing, l))
     {
-      guint mine = t->load.mine;
+      guint in_flight = t->load.in_flight;
 
       if (!g_str_equal (t->listing.pool, l->pool))
         {
           g_ptr_array_remove (pool_list (all, t->listing.pool), t);
           g_ptr_array_add (pool_list (all, l->pool), t);
         }
-      t->load = (CcTargetLoad){ .mine = mine };
+      t->load = (CcTargetLoad){ .in_flight = in_flight };
       t->since = written;
     }
   changed =
--- a/test/test_choose.c
+++ b/test/test_choose.c
@@ -1,5 +1,5 @@
-/* Which upstream a request goes to, by zone, by tries and by the owner of its
- * key. */
+/* Guards against requests sent to a far, full or tried upstream while a better
+ * one is available, and against keys sent to anyone but their owner. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -17,11 +17,11 @@
 typedef struct
 {
   const char *name;
-  guint mine[UPSTREAMS]; /* requests inside each */
+  guint in_flight[UPSTREAMS]; /* own requests inside each */
   gboolean tried[UPSTREAMS];
   gboolean leaving[UPSTREAMS];
   gint chosen;        /* -1: none */
-  gboolean near_slow; /* u0 takes three times as long as the others */
+  gboolean near_slow; /* u0 is three times as slow as the others */
 } Case;
 
 static const Case cases[] = {
@@ -132,7 +132,7 @@
       world_init (&w);
       for (guint k = 0; k < UPSTREAMS; k++)
         {
-          upstream (&w, k)->load.mine = c->mine[k];
+          upstream (&w, k)->load.in_flight = c->in_flight[k];
           if (k == 0 && c->near_slow)
             {
               upstream (&w, k)->load.slowness_sum = 300;
@@ -153,15 +153,15 @@
     }
 }
 
-/* An entry that is cut off from all upstreams of a pool: its callers must be
- * told when one may be reached again, not wait until their time is over. */
+/* Guards against callers that wait until their deadline because their entry
+ * reaches no upstream of the pool: it must report when one may be reachable. */
 static void
 all_unreachable_is_known_at_once (void **state)
 {
   static const struct
   {
-    gint64 until[UPSTREAMS]; /* avoided, ms from now; 0: reachable */
-    gboolean shed;           /* for load only */
+    gint64 until[UPSTREAMS]; /* backoff, ms from now; 0: reachable */
+    gboolean shed;           /* backoff for load only */
     gint64 reachable_at;     /* ms from now */
   } table[] = {
     { { 300, 200, 400 }, FALSE, 200 },
@@ -194,7 +194,8 @@
     }
 }
 
-/* A key's owner, while it moves, after it was started again, after it left. */
+/* The owner of a key while the key moves, after a restart, and after leaving.
+ */
 static void
 only_the_owner_gets_a_key (void **state)
 {
--- a/test/test_pick.c
+++ b/test/test_pick.c
@@ -1,7 +1,6 @@
-/* Where requests go, and who is refused, under the loads that pick.c and
- * backlog.c are for, judged by what callers receive.  The worlds are small: a
- * pool of servers with slots and first-come queues, a few entries that each see
- * only their own requests and the servers' words, and a naive policy beside. */
+/* Guards against requests that queue at slow or full servers while others
+ * idle, and queues that yield only late responses.  Simulates servers, and
+ * entries that know only their own requests and the servers' reports. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -26,7 +25,7 @@
 
 typedef struct
 {
-  gint64 ends; /* 0: waits in the server */
+  gint64 ends; /* 0: waiting in the server */
   gint64 work;
   gint64 began; /* at the entry */
   guint entry;
@@ -37,8 +36,8 @@
 
 typedef struct
 {
-  double rate;    /* requests a second of all entries */
-  double factor;  /* of server 0's work */
+  double rate;    /* requests per second of all entries */
+  double factor;  /* factor on server 0's work times */
   double failing; /* share that server 0 refuses */
   gboolean naive;
   gint64 target;
@@ -46,7 +45,7 @@
 
 typedef struct
 {
-  guint asked;
+  guint requests;
   guint in_target;
   guint ended;
   guint refused;
@@ -59,7 +58,7 @@
   GRand *rand;
   const Load *load;
   GPtrArray *inside[SERVERS]; /* of Job, in order */
-  CcTargetLoad seen[ENTRIES][SERVERS];
+  CcTargetLoad targets[ENTRIES][SERVERS];
   CcPoolLoad loads[ENTRIES];
   CcBacklog backlogs[ENTRIES];
   guint turn[ENTRIES];
@@ -86,7 +85,7 @@
 }
 
 static CcLoadReport
-word_of (const World *w, guint s)
+report_of (const World *w, guint s)
 {
   return (CcLoadReport){ TRUE, running (w, s),
                          w->inside[s]->len - running (w, s) };
@@ -101,12 +100,13 @@
   return t;
 }
 
-/* The entry of J hears from its server. */
+/* Gives the result R of J, with the server's report, to its entry. */
 static void
-hear (World *w, const Job *j, const CcPickResult *r, gint64 now)
+record_result (World *w, const Job *j, const CcPickResult *r, gint64 now)
 {
-  cc_pick_ended (&w->seen[j->entry][j->server], r, now);
-  cc_pool_load_add (&w->loads[j->entry], &w->seen[j->entry][j->server].in_pool,
+  cc_pick_ended (&w->targets[j->entry][j->server], r, now);
+  cc_pool_load_add (&w->loads[j->entry],
+                    &w->targets[j->entry][j->server].in_pool,
                     (double) (r->report.running + r->report.waiting) / SLOTS,
                     typical.any, now);
 }
@@ -122,7 +122,7 @@
     return (gint) (w->turn[entry]++ % SERVERS);
   for (guint s = 0; s < SERVERS; s++)
     {
-      const CcTargetLoad *l = &w->seen[entry][s];
+      const CcTargetLoad *l = &w->targets[entry][s];
       double cost;
 
       if (!cc_pick_has_capacity (l, &t, now))
@@ -141,9 +141,9 @@
 static void
 send_job (World *w, Job *j, guint server, gint64 now)
 {
-  CcTargetLoad *l = &w->seen[j->entry][server];
+  CcTargetLoad *l = &w->targets[j->entry][server];
   CcTypicalWork t = typical_at (w, j->entry, now);
-  CcLoadReport word = word_of (w, server);
+  CcLoadReport report = report_of (w, server);
 
   j->server = server;
   j->sent = now;
@@ -153,9 +153,9 @@
   w->result.sent_to_first += server == 0;
   if (server == 0 && g_rand_double (w->rand) < w->load->failing)
     {
-      CcPickResult shed = { CC_PICK_SHED, 0, j->share, typical.kind, word };
+      CcPickResult shed = { CC_PICK_SHED, 0, j->share, typical.kind, report };
 
-      hear (w, j, &shed, now);
+      record_result (w, j, &shed, now);
       w->result.refused++;
       g_free (j);
       return;
@@ -170,7 +170,7 @@
   Job *j = g_new0 (Job, 1);
   gint s = choose (w, entry, now);
 
-  w->result.asked++;
+  w->result.requests++;
   j->entry = entry;
   j->began = now;
   if (s < 0)
@@ -197,8 +197,8 @@
       if (j->ends == 0 || j->ends > now)
         continue;
       g_ptr_array_steal_index (inside, i--);
-      answered.report = word_of (w, s);
-      hear (w, j, &answered, now);
+      answered.report = report_of (w, s);
+      record_result (w, j, &answered, now);
       w->result.ended++;
       w->result.in_target += now - j->began <= w->load->target;
       g_free (j);
@@ -213,7 +213,7 @@
 }
 
 static Result
-play (const Load *load, guint seed, gint64 span)
+simulate (const Load *load, guint seed, gint64 span)
 {
   World w = { .rand = g_rand_new_with_seed (seed), .load = load };
   gint64 start = 1000 * CC_SECOND;
@@ -222,7 +222,7 @@
     w.inside[s] = g_ptr_array_new_with_free_func (g_free);
   for (guint e = 0; e < ENTRIES; e++)
     for (guint s = 0; s < SERVERS; s++)
-      w.seen[e][s].slots = SLOTS;
+      w.targets[e][s].slots = SLOTS;
   for (guint e = 0; e < ENTRIES; e++)
     w.turn[e] = (guint) g_rand_int_range (w.rand, 0, SERVERS);
   for (gint64 now = start; now < start + span; now += TICK)
@@ -247,27 +247,28 @@
 static double
 in_target (const Result *r)
 {
-  return (double) r->in_target / r->asked;
+  return (double) r->in_target / r->requests;
 }
 
 typedef struct
 {
   const char *name;
   Load load;
-  double least; /* share in target that is wanted */
-  double over;  /* ... and that much above the naive policy */
-  double first; /* server 0 gets at most this share of the attempts */
+  double least; /* required share in target */
+  double over;  /* required difference to the naive policy */
+  double first; /* largest share of the attempts at server 0 */
 } Case;
 
 static const Case cases[] = {
-  /* 250 a second of 400 that can be served.  Turns are as good here as it gets:
-   * 95 in 100 take less than the target when nothing waits. */
+  /* 250 a second of 400 that can be served.  Round robin is as good as
+   * possible here: 95 in 100 take less than the target when nothing waits. */
   { "busy", { 250, 1, 0, FALSE, 300 * CC_MS }, 0.92, -0.02, 0.2 },
-  /* One server is five times slower; its queue would hold a tenth of all. */
+  /* One server is five times slower; with an equal share it would get a tenth
+   * of all requests. */
   { "slow server", { 200, 5, 0, FALSE, 300 * CC_MS }, 0.92, 0.05, 0.03 },
-  /* One refuses half of its requests though its health is good. */
+  /* One server refuses half of its requests although it is healthy. */
   { "shedding server", { 200, 1, 0.5, FALSE, 300 * CC_MS }, 0.91, 0.02, 0.04 },
-  /* A burst past what can be served. */
+  /* More load than can be served. */
   { "overload", { 460, 1, 0, FALSE, 300 * CC_MS }, 0.6, 0.4, 0.2 },
 };
 
@@ -280,21 +281,22 @@
       {
         const Case *c = &cases[i];
         Load naive = c->load;
-        Result ours = play (&c->load, seed, 20 * CC_SECOND), theirs;
+        Result result = simulate (&c->load, seed, 20 * CC_SECOND), naive_result;
 
         naive.naive = TRUE;
-        theirs = play (&naive, seed, 20 * CC_SECOND);
-        if (in_target (&ours) < c->least ||
-            in_target (&ours) < in_target (&theirs) + c->over ||
-            (double) ours.sent_to_first / ours.sent > c->first)
+        naive_result = simulate (&naive, seed, 20 * CC_SECOND);
+        if (in_target (&result) < c->least ||
+            in_target (&result) < in_target (&naive_result) + c->over ||
+            (double) result.sent_to_first / result.sent > c->first)
           fail_msg ("%s, seed %u: %.3f in target, naive %.3f, first %.3f",
-                    c->name, seed, in_target (&ours), in_target (&theirs),
-                    (double) ours.sent_to_first / ours.sent);
+                    c->name, seed, in_target (&result),
+                    in_target (&naive_result),
+                    (double) result.sent_to_first / result.sent);
       }
 }
 
-/* A server that could not be reached is left alone for a time that doubles, and
- * is as good as any once it has answered. */
+/* An unreachable server gets no attempts for a backoff that doubles, and
+ * counts as healthy again after its first response. */
 static void
 an_unreachable_server_is_tried_again_later (void **state)
 {
@@ -323,7 +325,7 @@
   assert_int_equal (l.avoid_span, 0);
 }
 
-/* ---- backlog ---- */
+/* Backlog. */
 
 typedef struct
 {
@@ -376,8 +378,8 @@
     }
 }
 
-/* Callers that were refused together do not come back together, and none is
- * told a time at which it would have given up. */
+/* Callers refused together are told different return times, none of them after
+ * the time at which the caller would have given up. */
 static void
 returns_are_spread_and_in_time (void **state)
 {
