--- a/admission.h
+++ b/admission.h
@@ -1,4 +1,5 @@
-/* Whether a request is taken into a server's queue, or refused at once. */
+/* Admission control: whether a request enters a server's queue or is refused
+ * at once. */
 #ifndef CC_ADMISSION_H
 #define CC_ADMISSION_H
 
@@ -7,29 +8,29 @@
 typedef enum
 {
   CC_ADMIT,
-  CC_REFUSE_LATE, /* its target or deadline can't be met */
-  CC_REFUSE_SHARE /* its tenant or key has its share of the queue already */
+  CC_REFUSE_LATE, /* its latency target or deadline cannot be met */
+  CC_REFUSE_SHARE /* its tenant or key already has its share of the queue */
 } CcAdmission;
 
-/* All that the decision looks at; costs and times in us. */
+/* Input of the decision; costs and times in us. */
 typedef struct
 {
-  gint64 within;    /* the class's target */
-  gint64 left;      /* to the deadline */
+  gint64 within;    /* latency target of the class */
+  gint64 left;      /* time to the deadline */
   gint64 service;   /* expected time in the server */
-  gint64 deviation; /* of that */
+  gint64 deviation; /* mean deviation of that time */
   gint64 ahead;     /* cost of what is served before it */
-  double slots;     /* how many work on that at once */
-  gint64 tenant;    /* cost of what its tenant has waiting */
-  gint64 slice;     /* cost of what waits for its slice */
+  double slots;     /* requests that are served at once */
+  gint64 tenant;    /* cost of its tenant's waiting requests */
+  gint64 slice;     /* cost of the requests waiting for its slice */
 } CcAdmissionRequest;
 
-/* Refused work that was told to come back, as a queue that drains at the
- * server's rate. */
+/* Spreads the returns of refused requests: their work is counted as a queue
+ * that drains at the server's rate. */
 typedef struct
 {
-  gint64 cost;  /* of the refused not yet due back, us */
-  gint64 since; /* when cost was brought up to date, us */
+  gint64 cost;  /* cost of refused requests that are not due back yet, us */
+  gint64 since; /* when cost was last updated, us */
 } CcRetryPacer;
 
 CcAdmission cc_admission_decide (const CcAdmissionRequest *a);
--- a/backlog.c
+++ b/backlog.c
@@ -1,24 +1,28 @@
-/* Load pattern: for some seconds more requests come than a pool can serve.
- * Without a bound each waits longer than the one before, until all are answered
- * too late to be of use and the pool works for nobody.
+/* Load pattern: for some seconds, requests arrive faster than a pool can serve
+ * them.  Without a bound each waits longer than the one before, until all
+ * responses come too late to be of use and the pool's work is wasted.
  *
- * So a request that would be answered well past its target is refused at once,
- * by the rate at which this entry's attempts have ended lately: that is the
- * part of the pool that it really gets, whatever other entries send.  Urgent
- * kinds go first; among equals the one that is wanted first. */
+ * A request whose response would come well past its latency target is
+ * therefore refused at once.  The expected wait is derived from the rate at
+ * which this entry's attempts have recently ended: that is the part of the
+ * pool's capacity that the entry really gets, whatever other entries send.
+ * Requests are ordered by priority, and within a priority by due time. */
 #include "backlog.h"
 
 #include <math.h>
 
-/* Time over which ended attempts are counted; three answers of today. */
-#define RATE_TIME (700 * CC_MS)
-/* A request may be answered this much after its target and still be of some
- * use; beyond, the place is better kept for one that can be on time. */
-#define LATE_PART 0.15
-/* Callers come back within this share of the time they have left, or not. */
+/* Time constant of the rate of ended attempts: about three response times. */
+#define RATE_TIME_CONSTANT (700 * CC_MS)
+/* A response may come after the target by this part of it and still be of some
+ * use; beyond that, the place is better given to a request that can be on
+ * time. */
+#define LATE_TOLERANCE 0.15
+/* Callers come back within this share of their remaining time, or not at all.
+ */
 #define RETURN_PART 0.3
-/* Soonest return: below it a refusal only moves the wait into the network. */
-#define RETURN_LEAST (50 * CC_MS)
+/* Earliest return: with less, a refusal only moves the wait into the network.
+ */
+#define RETURN_MIN (50 * CC_MS)
 
 static gint
 by_urgency (gconstpointer a, gconstpointer b, gpointer unused)
@@ -31,28 +35,28 @@
   return x->due <= y->due ? -1 : 1;
 }
 
-/* Makes B empty. */
+/* Initialises B as an empty backlog. */
 void
 cc_backlog_init (CcBacklog *b)
 {
   *b = (CcBacklog){ .order = g_sequence_new (NULL) };
 }
 
-/* Frees what B holds; the entries stay. */
+/* Frees the memory of B, not the entries in it. */
 void
 cc_backlog_clear (CcBacklog *b)
 {
   g_clear_pointer (&b->order, g_sequence_free);
 }
 
-/* E waits in B. */
+/* Adds E to B. */
 void
 cc_backlog_push (CcBacklog *b, CcBacklogEntry *e)
 {
   e->place = g_sequence_insert_sorted (b->order, e, by_urgency, NULL);
 }
 
-/* E waits no more; nothing happens if it doesn't. */
+/* Removes E from B; does nothing if E is not in it. */
 void
 cc_backlog_remove (CcBacklog *b, CcBacklogEntry *e)
 {
@@ -62,7 +66,7 @@
   e->place = NULL;
 }
 
-/* Requests that wait. */
+/* Returns the number of waiting requests. */
 guint
 cc_backlog_length (const CcBacklog *b)
 {
@@ -70,26 +74,26 @@
 }
 
 static double
-ended_by (const CcBacklog *b, gint64 now)
+decayed_ended (const CcBacklog *b, gint64 now)
 {
-  return b->ended * exp (-(double) (now - b->ended_at) / RATE_TIME);
+  return b->ended * exp (-(double) (now - b->ended_at) / RATE_TIME_CONSTANT);
 }
 
-/* An attempt of this entry at the pool ended at NOW. */
+/* Records that an attempt of this entry at the pool ended at NOW. */
 void
 cc_backlog_ended (CcBacklog *b, gint64 now)
 {
-  b->ended = ended_by (b, now) + 1.0;
+  b->ended = decayed_ended (b, now) + 1.0;
   b->ended_at = now;
 }
 
-/* How long a new request of PRIORITY would wait, us. */
+/* Returns the expected wait of a new request of PRIORITY, us. */
 gint64
 cc_backlog_wait (const CcBacklog *b, guint priority, gint64 now)
 {
   GSequenceIter *i = g_sequence_get_begin_iter (b->order);
   double ahead = 0;
-  double rate = MAX (ended_by (b, now), 1.0);
+  double rate = MAX (decayed_ended (b, now), 1.0);
 
   for (; !g_sequence_iter_is_end (i); i = g_sequence_iter_next (i))
     {
@@ -99,26 +103,27 @@
         break;
       ahead += 1.0;
     }
-  return (gint64) (ahead / rate * RATE_TIME);
+  return (gint64) (ahead / rate * RATE_TIME_CONSTANT);
 }
 
-/* Whether a request that waits for WAIT, then takes SERVICE, is worth taking
- * with TARGET and LEFT to its deadline; all in us. */
+/* Returns whether to admit a request that waits for WAIT, then takes SERVICE,
+ * with the latency target TARGET and LEFT to its deadline; all in us. */
 gboolean
 cc_backlog_admits (gint64 wait, gint64 service, gint64 target, gint64 left)
 {
-  gint64 useful = target + (gint64) (LATE_PART * (double) target);
+  gint64 useful = target + (gint64) (LATE_TOLERANCE * (double) target);
 
   return wait + service <= MIN (MAX (useful, service), left);
 }
 
-/* When to tell a refused caller to return, us from now: after the WAIT of now,
- * spread by DRAW (0 to 1), and within what it has LEFT. */
+/* Returns when a refused caller is told to return, us from now: after the
+ * present expected wait WAIT, spread by DRAW (random, 0 to 1), and early
+ * enough within its remaining time LEFT. */
 gint64
 cc_backlog_retry_after (gint64 wait, gint64 left, double draw)
 {
   gint64 most = (gint64) (RETURN_PART * (double) MAX (left, 0));
-  gint64 after = (gint64) ((double) MAX (wait, RETURN_LEAST) * (0.5 + draw));
+  gint64 after = (gint64) ((double) MAX (wait, RETURN_MIN) * (0.5 + draw));
 
-  return MAX (MIN (after, most), RETURN_LEAST);
+  return MAX (MIN (after, most), RETURN_MIN);
 }
--- a/backlog.h
+++ b/backlog.h
@@ -1,23 +1,24 @@
-/* The requests of one entry that wait for room at a pool. */
+/* The requests of one entry that wait for capacity at a pool, and the decision
+ * whether another one may wait. */
 #ifndef CC_BACKLOG_H
 #define CC_BACKLOG_H
 
 #include "capercrank.h"
 
-/* What the backlog knows of a request; embedded in it. */
+/* The backlog's record of a request; embedded in the request. */
 typedef struct
 {
   guint priority;       /* 0 goes first */
-  gint64 due;           /* when its answer is wanted, us */
+  gint64 due;           /* by when its response is due, us */
   GSequenceIter *place; /* NULL: not waiting */
   gpointer item;        /* the request */
 } CcBacklogEntry;
 
 typedef struct
 {
-  GSequence *order; /* of CcBacklogEntry, who goes first */
-  double ended;     /* attempts that ended lately, faded */
-  gint64 ended_at;  /* us */
+  GSequence *order; /* of CcBacklogEntry, most urgent first */
+  double ended;     /* decayed number of attempts that ended */
+  gint64 ended_at;  /* when that was last updated, us */
 } CcBacklog;
 
 void cc_backlog_init (CcBacklog *b);
--- a/limit.c
+++ b/limit.c
@@ -1,54 +1,58 @@
 /* Load patterns: a slow upstream, one that joins cold, one that sheds, one
- * whose load report lags or misleads.
+ * whose load report lags or is wrong.
  *
- * What happens without it: four attempts for ever fill a cold server with work
- * that times out, keep a shedding one shedding, and leave slots unused where a
+ * Failure: with a fixed limit of four, a cold server is filled with work that
+ * times out, a shedding one goes on shedding, and slots stay unused where a
  * server has more.
  *
- * The dispatcher is the only sender, so it knows what is in the server; that,
- * measured throughput and refusals decide (as requests in flight go before
- * reported load in Prequal, NSDI 2024).  The server's own report is not used:
- * it lags by its period, and a wrong "idle" would cost more than no report.
+ * The dispatcher is the only sender, so it knows what is inside the server.
+ * The limit follows from that, the measured throughput and refusals (Prequal,
+ * NSDI 2024, likewise prefers requests in flight to reported load).  The
+ * server's own report is not used: it lags by its period, and a wrong report
+ * of an idle server would cost more than none.
  *
- * Warm-up: from one, and one more for as many answers as the limit, so four
- * after six answers: a cold server meets its first work one at a time.
- * Refusal: the server is believed.  Half the limit, at most once in a service
- * time, since attempts sent together are refused together; and nothing is sent
- * for one service time, after which a slot has become free.
- * Trial: on a saturated server, every TRIAL_PERIOD one more (or, in turn, one
- * less) for a round.  One more is kept if the rate rose by half of what a true
- * slot would add; one less if it fell by less than half of that, since work is
- * better held in a queue that can order it than in the server's.
- */
+ * Warm-up: the limit starts at one and rises by one after as many responses as
+ * the limit, so it is four after six responses.  A cold server gets its first
+ * requests one at a time.
+ *
+ * Refusal: the limit is halved, at most once per service time, since attempts
+ * that are sent together are refused together.  Nothing is sent for one
+ * service time, after which a slot has become free.
+ *
+ * Trial: on a saturated server the limit is raised by one (or, in turn,
+ * lowered by one) for a round, every TRIAL_PERIOD.  The higher limit is kept
+ * if the rate rose by at least half of what a real slot would add; the lower
+ * one if the rate fell by less than that, since requests are better held in a
+ * queue that can order them than in the server's. */
 #include "limit.h"
 
-#define SLOTS 4           /* of each server today */
-#define LIMIT_MAX 64      /* half of a server's 130 connections */
-#define ROUND_ANSWERS 128 /* rate is then known to 4% at 30% deviation */
-#define TRIAL_PERIOD (10 * CC_SECOND) /* a round costs 2% of it or less */
-#define PAYS 0.5                      /* part of the expected gain, see above */
+#define SLOTS 4           /* usual slots of a server */
+#define LIMIT_MAX 64      /* half of the 130 connections of a server */
+#define ROUND_ANSWERS 128 /* gives the rate to 4% at 30% deviation */
+#define TRIAL_PERIOD (10 * CC_SECOND) /* a round takes 2% of it or less */
+#define GAIN_MIN 0.5                  /* part of a slot's rate, see above */
 
-/* A new server. */
+/* Initialises L for a new server. */
 void
 cc_limit_init (CcLimit *l)
 {
-  *l = (CcLimit){ .limit = 1, .kept = 1, .warming = TRUE, .upwards = TRUE };
+  *l = (CcLimit){ .limit = 1, .baseline = 1, .warming = TRUE, .upwards = TRUE };
 }
 
-/* Whether one more may be sent beside RUNNING. */
+/* Returns whether an attempt may be sent at NOW with RUNNING already inside. */
 gboolean
 cc_limit_may_send (const CcLimit *l, guint running, gint64 now)
 {
-  return running < l->limit && now >= l->paused;
+  return running < l->limit && now >= l->paused_until;
 }
 
 static void
 warm_up (CcLimit *l)
 {
-  if (++l->warm < l->limit)
+  if (++l->warm_answers < l->limit)
     return;
-  l->warm = 0;
-  l->kept = ++l->limit;
+  l->warm_answers = 0;
+  l->baseline = ++l->limit;
   l->warming = l->limit < SLOTS;
 }
 
@@ -62,34 +66,34 @@
 static void
 begin_trial (CcLimit *l, gint64 now)
 {
-  gboolean up = l->upwards || l->kept == 1;
+  gboolean up = l->upwards || l->baseline == 1;
 
   l->upwards = !l->upwards;
   l->next_trial = now + TRIAL_PERIOD;
-  if (up && l->kept >= LIMIT_MAX)
+  if (up && l->baseline >= LIMIT_MAX)
     return;
-  l->limit = up ? l->kept + 1 : l->kept - 1;
-  l->state = CC_LIMIT_TRYING;
+  l->limit = up ? l->baseline + 1 : l->baseline - 1;
+  l->state = CC_LIMIT_TRIAL;
 }
 
 static void
-judge_trial (CcLimit *l, double rate)
+evaluate_trial (CcLimit *l, double rate)
 {
-  double step = l->rate / l->kept * PAYS;
-  gboolean pays =
-      l->limit > l->kept ? rate >= l->rate + step : rate >= l->rate - step;
+  double step = l->rate / l->baseline * GAIN_MIN;
+  gboolean gains =
+      l->limit > l->baseline ? rate >= l->rate + step : rate >= l->rate - step;
 
-  if (pays)
+  if (gains)
     {
-      l->kept = l->limit;
+      l->baseline = l->limit;
       l->rate = rate;
     }
-  l->limit = l->kept;
+  l->limit = l->baseline;
   l->state = CC_LIMIT_STEADY;
 }
 
 static void
-judge_round (CcLimit *l, gint64 now)
+evaluate_round (CcLimit *l, gint64 now)
 {
   double rate = (double) l->answers * (double) CC_SECOND /
                 (double) MAX (now - l->round_began, 1);
@@ -97,8 +101,8 @@
   end_round (l);
   switch (l->state)
     {
-    case CC_LIMIT_TRYING:
-      judge_trial (l, rate);
+    case CC_LIMIT_TRIAL:
+      evaluate_trial (l, rate);
       break;
     case CC_LIMIT_STEADY:
       l->rate = rate;
@@ -108,8 +112,8 @@
     }
 }
 
-/* An attempt was answered at NOW.  SATURATED: the limit was reached and work
- * waited, so that the rate tells what the limit yields. */
+/* Records a response at NOW.  SATURATED: the limit was reached and requests
+ * waited, so the rate shows the throughput of this limit. */
 void
 cc_limit_answered (CcLimit *l, gboolean saturated, gint64 now)
 {
@@ -129,32 +133,34 @@
       return;
     }
   if (++l->answers >= ROUND_ANSWERS)
-    judge_round (l, now);
+    evaluate_round (l, now);
 }
 
 static void
-lower (CcLimit *l, guint to, gint64 now)
+lower_limit (CcLimit *l, guint to, gint64 now)
 {
-  l->limit = l->kept = MAX (to, 1);
+  l->limit = l->baseline = MAX (to, 1);
   l->warming = l->limit < SLOTS;
-  l->warm = 0;
+  l->warm_answers = 0;
   l->state = CC_LIMIT_STEADY;
   l->last_cut = now;
   end_round (l);
 }
 
-/* The server refused an attempt for its load.  SERVICE is its usual time. */
+/* Records that the server refused an attempt because of its load.  SERVICE is
+ * the expected service time, us. */
 void
 cc_limit_shed (CcLimit *l, gint64 service, gint64 now)
 {
-  l->paused = now + MAX (service, CC_MS);
+  l->paused_until = now + MAX (service, CC_MS);
   if (now - l->last_cut >= service)
-    lower (l, l->limit / 2, now);
+    lower_limit (l, l->limit / 2, now);
 }
 
-/* An attempt was not answered: the server starts over as a new one. */
+/* Records an attempt without a response: the limit starts again as for a new
+ * server. */
 void
 cc_limit_lost (CcLimit *l, gint64 now)
 {
-  lower (l, 1, now);
+  lower_limit (l, 1, now);
 }
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -1,4 +1,6 @@
-/* Admission: a table of single decisions, and the promise that it makes. */
+/* Guards against requests that are admitted and then miss their target, and
+ * against a server that refuses although it could serve: a table of single
+ * decisions, and a simulated server under overload. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,7 +13,7 @@
 typedef struct
 {
   const char *name;
-  CcAdmissionRequest ask;
+  CcAdmissionRequest request;
   CcAdmission verdict;
 } Case;
 
@@ -35,15 +37,15 @@
 test_cases (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
-    if (cc_admission_decide (&cases[i].ask) != cases[i].verdict)
+    if (cc_admission_decide (&cases[i].request) != cases[i].verdict)
       fail_msg ("%s", cases[i].name);
 }
 
-/* A thousand requests are refused in one instant: told the same time, they
- * would come back in one instant.  Their times are spread at the rate at which
- * the server drains, 1 ms each here, and start anew once it is idle. */
+/* A thousand requests refused at once and told the same time would return at
+ * once.  Their times are spread at the rate at which the server drains, 1 ms
+ * each here, and the spread starts anew once it is idle. */
 static void
-test_comeback_is_paced (void **state)
+test_returns_are_paced (void **state)
 {
   CcAdmissionRequest a = { 100000, 2000000, 4000, 0, 400000, 4, 0, 0 };
   CcRetryPacer c = { 0 };
@@ -64,7 +66,7 @@
 #define WORK (4 * CC_MS)
 #define WITHIN (100 * CC_MS)
 
-/* The server, without any cleverness: the time at which each slot is free. */
+/* A simple server: the time at which each slot becomes free. */
 typedef struct
 {
   gint64 ends[SLOTS];
@@ -131,9 +133,9 @@
   return s.late;
 }
 
-/* Twice the load that the server can do: whoever is admitted is answered
- * within the target (but for the first few, before anything is measured), and
- * the slots are never left idle for it. */
+/* At twice the load that the server can serve, every admitted request is
+ * answered within the target (except for the first few, before anything is
+ * measured), and the slots are never idle. */
 static void
 test_admitted_meet_their_target (void **state)
 {
@@ -147,8 +149,8 @@
     }
 }
 
-/* A server freezes: after its work should long be done, everything offered is
- * refused, and told to wait as long as the silence lasted. */
+/* A server stalls: once its work is long overdue, every request is refused and
+ * told to wait as long as the stall has lasted. */
 static void
 test_stalled_server_refuses (void **state)
 {
@@ -169,9 +171,9 @@
   cc_load_clear (&l);
 }
 
-/* A server joins cold, its first work takes 150 ms of a target of 300.  Callers
- * saw "stalled" for what waited, up to 100 ms after they asked: nothing was
- * measured yet, so no work was expected to take any time. */
+/* A cold server's first request takes 150 ms of a target of 300.  Waiting
+ * requests were refused as "stalled" up to 100 ms after they came: nothing was
+ * measured yet, so no time was expected for any work. */
 static void
 test_cold_server_is_not_stalled (void **state)
 {
@@ -191,11 +193,11 @@
   cc_load_clear (&l);
 }
 
-/* A server, or this process, hangs for seconds and is well again.  Callers saw
- * every request refused from then on: by the estimate none could meet its
- * deadline, none was sent, and so the estimate never changed. */
+/* A server, or this process, stalls for seconds and recovers.  Every later
+ * request was refused: by the estimate none could meet its deadline, none was
+ * sent, and so the estimate never changed. */
 static void
-test_recovers_from_a_hang (void **state)
+test_recovers_from_a_stall (void **state)
 {
   gint64 now = 0;
   CcLoad l;
@@ -222,11 +224,11 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_cases),
-    cmocka_unit_test (test_comeback_is_paced),
+    cmocka_unit_test (test_returns_are_paced),
     cmocka_unit_test (test_admitted_meet_their_target),
     cmocka_unit_test (test_stalled_server_refuses),
     cmocka_unit_test (test_cold_server_is_not_stalled),
-    cmocka_unit_test (test_recovers_from_a_hang),
+    cmocka_unit_test (test_recovers_from_a_stall),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -1,4 +1,6 @@
-/* The limit against a server whose slots are known to the test alone. */
+/* Guards against a limit that overfills a cold or shedding server or leaves
+ * slots unused.  The slots of the simulated server are not known to the limit.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -10,9 +12,9 @@
 
 #define SERVICE (4 * CC_MS)
 
-/* Answers at the rate that LIMIT yields on a server of SLOTS, for SECONDS. */
+/* Records responses for SECONDS at the rate of a server of SLOTS under L. */
 static gint64
-saturate (CcLimit *l, guint slots, gint64 now, guint seconds)
+run_saturated (CcLimit *l, guint slots, gint64 now, guint seconds)
 {
   gint64 end = now + seconds * CC_SECOND;
 
@@ -28,8 +30,8 @@
 {
   const char *name;
   guint slots;       /* of the server */
-  guint seconds;     /* under saturation */
-  guint least, most; /* limit that must come of it */
+  guint seconds;     /* duration of the saturation */
+  guint least, most; /* bounds of the resulting limit */
 } Case;
 
 static const Case cases[] = {
@@ -47,13 +49,13 @@
       CcLimit l;
 
       cc_limit_init (&l);
-      saturate (&l, cases[i].slots, 0, cases[i].seconds);
-      if (l.kept < cases[i].least || l.kept > cases[i].most)
-        fail_msg ("%s: %u", cases[i].name, l.kept);
+      run_saturated (&l, cases[i].slots, 0, cases[i].seconds);
+      if (l.baseline < cases[i].least || l.baseline > cases[i].most)
+        fail_msg ("%s: %u", cases[i].name, l.baseline);
     }
 }
 
-/* A server that joined cold gets its first work one at a time. */
+/* A cold server gets its first requests one at a time. */
 static void
 test_warms_up (void **state)
 {
@@ -68,16 +70,16 @@
     }
 }
 
-/* Four attempts sent together are refused together: one cut, and a pause of
- * one service time; refused again after it, the next cut. */
+/* Four attempts sent together are refused together: the limit is cut once, and
+ * sending pauses for one service time; a refusal after that is the next cut. */
 static void
-test_believes_a_refusal (void **state)
+test_refusal_cuts_limit (void **state)
 {
   gint64 now = CC_SECOND;
   CcLimit l;
 
   cc_limit_init (&l);
-  saturate (&l, 4, 0, 1);
+  run_saturated (&l, 4, 0, 1);
   for (guint i = 0; i < 4; i++)
     cc_limit_shed (&l, SERVICE, now + i);
   assert_int_equal (l.limit, 2);
@@ -90,15 +92,15 @@
 }
 
 static void
-test_lost_starts_over (void **state)
+test_lost_attempt_resets_limit (void **state)
 {
   CcLimit l;
 
   cc_limit_init (&l);
-  saturate (&l, 4, 0, 1);
+  run_saturated (&l, 4, 0, 1);
   cc_limit_lost (&l, CC_SECOND);
   assert_int_equal (l.limit, 1);
-  saturate (&l, 4, CC_SECOND, 1);
+  run_saturated (&l, 4, CC_SECOND, 1);
   assert_int_equal (l.limit, 4);
 }
 
@@ -108,8 +110,8 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_finds_the_slots),
     cmocka_unit_test (test_warms_up),
-    cmocka_unit_test (test_believes_a_refusal),
-    cmocka_unit_test (test_lost_starts_over),
+    cmocka_unit_test (test_refusal_cuts_limit),
+    cmocka_unit_test (test_lost_attempt_resets_limit),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
