--- a/cost.c
+++ b/cost.c
@@ -1,25 +1,24 @@
-/* Load pattern: long jobs among short ones.  A booking for one coach takes
- * 12 ms, its list of 60 kB ten times as long.  With one mean for all, the wait
- * told to the short ones is wrong and the long ones take every slot.
+/* Load pattern: long jobs among short ones.  A booking for one coach takes 12
+ * ms, its list of 60 kB ten times as long.  With one mean for all kinds, the
+ * wait predicted for short jobs is wrong and the long ones take every slot.
  *
- * A kind of work is a class, a method and the size of the body by powers of
+ * A kind of work is a class, a method and the size of the body in powers of
  * four: all that is known before it runs.  Mean and deviation are tracked as
- * TCP does with its round trip (RFC 6298, gains 1/8 and 1/4): in eight answers
- * the estimate follows a server that turned slow, and one odd answer moves it
- * by an eighth.
- */
+ * TCP tracks its round-trip time (RFC 6298, gains 1/8 and 1/4): within eight
+ * responses the estimate follows a server that became slow, and one outlier
+ * moves it by an eighth. */
 #include "cost.h"
 
 #include <string.h>
 
-/* Methods come from callers: past this many kinds the server's own mean is
- * used.  A deployment has tens. */
-#define KINDS_MAX 256
+/* Upper bound on the kinds tracked, since methods come from callers; beyond it
+ * the estimate over all kinds is used.  A deployment has tens of kinds. */
+#define TRACKED_KINDS_MAX 256
 
 #define MEAN_GAIN 8      /* RFC 6298: 1/8 */
 #define DEVIATION_GAIN 4 /* RFC 6298: 1/4 */
 
-/* The kind of a request of BODY bytes. */
+/* Returns the kind of work of a request with a body of BODY bytes. */
 guint
 cc_cost_kind (const char *class_name, const char *method, gsize body)
 {
@@ -30,7 +29,7 @@
   return (g_str_hash (class_name) * 31 + g_str_hash (method)) * 31 + size;
 }
 
-/* Makes C empty. */
+/* Initialises C without any measurement. */
 void
 cc_costs_init (CcCosts *c)
 {
@@ -38,7 +37,7 @@
   c->kinds = g_hash_table_new_full (NULL, NULL, NULL, g_free);
 }
 
-/* Frees what C holds. */
+/* Frees the memory of C. */
 void
 cc_costs_clear (CcCosts *c)
 {
@@ -46,7 +45,7 @@
 }
 
 static void
-adjust (CcCost *cost, gint64 took)
+update_estimate (CcCost *cost, gint64 took)
 {
   gint64 error = took - cost->mean;
 
@@ -60,30 +59,31 @@
   cost->deviation += (ABS (error) - cost->deviation) / DEVIATION_GAIN;
 }
 
-/* Work of KIND was answered after TOOK us. */
+/* Records that work of KIND was answered after TOOK us. */
 void
 cc_costs_add (CcCosts *c, guint kind, gint64 took)
 {
   CcCost *cost = g_hash_table_lookup (c->kinds, GUINT_TO_POINTER (kind));
 
-  adjust (&c->all, took);
-  if (cost == NULL && g_hash_table_size (c->kinds) < KINDS_MAX)
+  update_estimate (&c->all, took);
+  if (cost == NULL && g_hash_table_size (c->kinds) < TRACKED_KINDS_MAX)
     {
       cost = g_new0 (CcCost, 1);
       g_hash_table_insert (c->kinds, GUINT_TO_POINTER (kind), cost);
     }
   if (cost != NULL)
-    adjust (cost, took);
+    update_estimate (cost, took);
 }
 
-/* Whether work of KIND was ever answered. */
+/* Returns whether work of KIND was ever measured. */
 gboolean
 cc_costs_known (const CcCosts *c, guint kind)
 {
   return g_hash_table_contains (c->kinds, GUINT_TO_POINTER (kind));
 }
 
-/* The estimate for KIND; the server's whole work if KIND was never seen. */
+/* Returns the estimate for KIND, or that over all kinds if KIND was never
+ * measured. */
 CcCost
 cc_costs_of (const CcCosts *c, guint kind)
 {
--- a/cost.h
+++ b/cost.h
@@ -1,20 +1,21 @@
-/* Expected time in the server for each kind of work, measured. */
+/* Measures the service time of each kind of work in one server and predicts
+ * it. */
 #ifndef CC_COST_H
 #define CC_COST_H
 
 #include "capercrank.h"
 
-/* Estimate of one kind of work. */
+/* Estimated service time of one kind of work. */
 typedef struct
 {
   gint64 mean;      /* us; 0: never measured */
-  gint64 deviation; /* mean distance from the mean, us */
+  gint64 deviation; /* mean deviation, us */
 } CcCost;
 
 typedef struct
 {
   GHashTable *kinds; /* kind to CcCost */
-  CcCost all;        /* of the server's whole work */
+  CcCost all;        /* estimate over all kinds */
 } CcCosts;
 
 guint cc_cost_kind (const char *class_name, const char *method, gsize body);
--- a/queue.c
+++ b/queue.c
@@ -1,25 +1,26 @@
 /* Order of the queue.
  *
- * Load patterns: a gate opening at nine, browsing beside once-only work, long
- * jobs among short ones.  First in, first out lets a class with seconds to
- * spare delay an urgent one past its target, lets a flood of one class starve
- * all others, and lets a few long jobs occupy every slot.
+ * Load patterns: a sudden rush of requests, reads beside work that must not be
+ * repeated, long jobs among short ones.  First in, first out lets a class with
+ * seconds to spare delay an urgent one past its target, lets a flood of one
+ * class starve all others, and lets a few long jobs occupy every slot.
  *
  * Between classes: start-time fair queuing (Goyal, SIGCOMM 1996).  Each class
  * is entitled to an equal share of the server's time, measured in expected
- * cost, and what one leaves unused goes to the others.  Shares are equal for
- * want of grounds for others: the operator states targets, not weights.
+ * cost, and what one leaves unused goes to the others.  Shares are equal since
+ * nothing justifies other ones: the operator states targets, not weights.
  *
- * Within a class: earliest due first.  The class's requests have one target,
- * so nobody is overtaken for long and the wait of an admitted request can be
- * told at its arrival.  Fairness among tenants and keys is therefore made at
- * admission (admission.c), which bounds what each may have waiting here.
+ * Within a class: earliest due time first.  The class's requests have one
+ * target, so no request is overtaken for long, and the wait of an admitted
+ * request is predictable at its arrival.  Fairness among tenants and keys is
+ * therefore enforced at admission (admission.c), which bounds what each may
+ * have waiting here.
  *
- * Long jobs stand in a sequence of their own, so that one that has to wait
- * for a slot it may use is passed by in constant time.
+ * Long jobs are kept in a sequence of their own, so one that has to wait for a
+ * slot that it may use is passed over in constant time.
  *
- * All of push, pop and remove are O(log n) in the jobs, O(classes) beside.
- */
+ * Push, pop and remove take O(log n) in the number of jobs, and O(classes) in
+ * addition. */
 #include "queue.h"
 
 static void
@@ -32,7 +33,7 @@
   g_free (lane);
 }
 
-/* Makes Q empty. */
+/* Initialises Q as an empty queue. */
 void
 cc_queue_init (CcQueue *q)
 {
@@ -42,7 +43,7 @@
   q->slices = g_hash_table_new (NULL, NULL);
 }
 
-/* Frees Q, not the items in it. */
+/* Frees the memory of Q, not the items in it. */
 void
 cc_queue_clear (CcQueue *q)
 {
@@ -52,7 +53,7 @@
 }
 
 static gint
-by_due (gconstpointer a, gconstpointer b, gpointer unused)
+compare_due (gconstpointer a, gconstpointer b, gpointer unused)
 {
   const CcQueueEntry *x = a, *y = b;
 
@@ -115,7 +116,7 @@
 }
 
 static void
-add_sums (CcQueue *q, CcLane *lane, const CcQueueEntry *w, int sign)
+add_to_sums (CcQueue *q, CcLane *lane, const CcQueueEntry *w, int sign)
 {
   gint64 cost = sign * w->cost;
 
@@ -125,7 +126,8 @@
   q->length = (guint) ((gint) q->length + sign);
 }
 
-/* Adds W, which stays the caller's and must not change while it waits. */
+/* Adds W to Q.  W stays owned by the caller and must not change while it
+ * waits. */
 void
 cc_queue_push (CcQueue *q, CcQueueEntry *w)
 {
@@ -137,11 +139,11 @@
     lane->tag = MAX (lane->tag, q->virtual_time);
   lane->last_push = w->arrived;
   w->place =
-      g_sequence_insert_sorted (lane->order[w->is_long], w, by_due, NULL);
-  add_sums (q, lane, w, 1);
+      g_sequence_insert_sorted (lane->order[w->is_long], w, compare_due, NULL);
+  add_to_sums (q, lane, w, 1);
 }
 
-/* Takes W out if it is in Q. */
+/* Removes W from Q; does nothing if it is not queued. */
 void
 cc_queue_remove (CcQueue *q, CcQueueEntry *w)
 {
@@ -149,7 +151,7 @@
     return;
   g_sequence_remove (w->place);
   w->place = NULL;
-  add_sums (q, find_lane (q, w->class_id), w, -1);
+  add_to_sums (q, find_lane (q, w->class_id), w, -1);
 }
 
 static CcQueueEntry *
@@ -173,12 +175,13 @@
 
   if (usual == NULL || other == NULL)
     return usual != NULL ? usual : other;
-  return by_due (other, usual, NULL) < 0 ? other : usual;
+  return compare_due (other, usual, NULL) < 0 ? other : usual;
 }
 
-/* Takes out what is to be sent next, or returns NULL.  LONG_TOO: a slot for a
- * long job is free.  MAY (or NULL) tells what may be sent at all; it refuses
- * only jobs of a slice on the move, so the first is nearly always taken. */
+/* Removes and returns the job to be sent next, or NULL.  LONG_TOO: a slot for
+ * long jobs is free.  MAY returns whether a job may be sent at all (NULL: all
+ * may); it refuses only jobs of a slice that is being moved, so the first one
+ * tried is nearly always taken. */
 CcQueueEntry *
 cc_queue_pop (CcQueue *q, gboolean long_too, CcMaySend may, gpointer data)
 {
@@ -206,22 +209,23 @@
   return next;
 }
 
-/* How many items wait. */
+/* Returns the number of waiting items. */
 guint
 cc_queue_length (const CcQueue *q)
 {
   return q->length;
 }
 
-/* The lane of CLASS_ID, or NULL if none was ever pushed. */
+/* Returns the lane of CLASS_ID, or NULL if no job of that class was ever
+ * pushed. */
 const CcLane *
 cc_queue_lane (const CcQueue *q, guint class_id)
 {
   return find_lane (q, class_id);
 }
 
-/* How many classes share the server now: CLASS_ID, and every other that waits
- * or was pushed at SINCE or later. */
+/* Returns the number of classes that share the server: CLASS_ID, and each
+ * other class that has jobs waiting or had one pushed at SINCE or later. */
 guint
 cc_queue_active (const CcQueue *q, guint class_id, gint64 since)
 {
@@ -238,14 +242,14 @@
   return n;
 }
 
-/* Cost of what TENANT has waiting, us. */
+/* Returns the cost of TENANT's waiting jobs, us. */
 gint64
 cc_queue_tenant_cost (const CcQueue *q, guint tenant)
 {
   return cost_of (q->tenants, tenant);
 }
 
-/* Cost of what waits for SLICE, us. */
+/* Returns the cost of the jobs waiting for SLICE, us. */
 gint64
 cc_queue_slice_cost (const CcQueue *q, guint slice)
 {
@@ -258,7 +262,8 @@
   g_ptr_array_add (items, w);
 }
 
-/* All items (CcQueueEntry), class by class.  The caller unrefs the array. */
+/* Returns all items (CcQueueEntry), class by class.  The caller unrefs the
+ * array. */
 GPtrArray *
 cc_queue_items (const CcQueue *q)
 {
--- a/test/test_queue.c
+++ b/test/test_queue.c
@@ -1,4 +1,6 @@
-/* The queue against a naive one: an array that is searched whole each time. */
+/* Guards against a queue that returns jobs in the wrong order or loses count
+ * of them, and against starvation between classes.  Compares it with a naive
+ * queue, an array that is searched whole each time. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -88,11 +90,11 @@
                        .tenant = (guint) g_rand_int_range (rand, 1, 4) };
 }
 
-/* Ends the test with the seed that failed. */
+/* Fails the test with the current seed if the two queues differ. */
 static void
-expect_same (const CcQueueEntry *ours, const CcQueueEntry *naive)
+expect_same (const CcQueueEntry *job, const CcQueueEntry *naive)
 {
-  if (ours != naive)
+  if (job != naive)
     fail_msg ("seed %u: another job was taken", current_seed);
 }
 
@@ -159,8 +161,8 @@
     }
 }
 
-/* A thousand browsers wait and go on coming; a booking of the same server
- * arrives.  First in, first out it would wait for all of them. */
+/* A thousand reads wait when a booking for the same server arrives.  First in,
+ * first out would make it wait for all of them. */
 static void
 test_flood_does_not_starve (void **state)
 {
@@ -191,9 +193,9 @@
   return w->slice == 2;
 }
 
-/* The first job's slice is on the move: the next one is sent meanwhile. */
+/* While the first job's slice is being moved, the next job is sent. */
 static void
-test_passes_by_what_may_not_go (void **state)
+test_skips_jobs_that_may_not_be_sent (void **state)
 {
   CcQueueEntry a = { .slice = 1, .due = 1, .cost = 1 };
   CcQueueEntry b = { .slice = 2, .due = 2, .cost = 1 };
@@ -214,7 +216,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_differential),
     cmocka_unit_test (test_flood_does_not_starve),
-    cmocka_unit_test (test_passes_by_what_may_not_go),
+    cmocka_unit_test (test_skips_jobs_that_may_not_be_sent),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/waiters.c
+++ b/waiters.c
@@ -1,5 +1,5 @@
-/* Finds the job of a request by the request's id.  Without it, a burst of
- * callers that give up together costs a search of every queue for each. */
+/* Finds the job of a request by the request's id.  Without this index, a burst
+ * of cancelled requests costs a search of every queue for each. */
 #include "waiters.h"
 
 static guint
@@ -18,7 +18,7 @@
   return x->id == y->id && x->incarnation == y->incarnation;
 }
 
-/* An empty table of CcWaiter to CcJob. */
+/* Returns an empty table of CcWaiter to CcJob. */
 GHashTable *
 cc_waiters_new (void)
 {
@@ -32,7 +32,7 @@
   g_hash_table_insert (table, j->waiters->pdata[j->waiters->len - 1], j);
 }
 
-/* Takes all of J's waiters out of TABLE; to be called before they are freed. */
+/* Removes all of J's waiters from TABLE; to be called before they are freed. */
 void
 cc_waiters_remove (GHashTable *table, const CcJob *j)
 {
@@ -40,8 +40,8 @@
     g_hash_table_remove (table, j->waiters->pdata[i]);
 }
 
-/* Takes out the request ID of the entry INCARNATION and returns its job, or
- * NULL if it is not waited for. */
+/* Removes the request ID of the entry INCARNATION and returns its job, or NULL
+ * if there is no such request. */
 CcJob *
 cc_waiters_take (GHashTable *table, guint64 incarnation, guint64 id)
 {
--- a/waiters.h
+++ b/waiters.h
@@ -1,4 +1,4 @@
-/* The requests that wait inside a dispatcher, by id. */
+/* Index of the requests that wait inside a dispatcher, by request id. */
 #ifndef CC_WAITERS_H
 #define CC_WAITERS_H
 
