--- a/call_timeout.h
+++ b/call_timeout.h
@@ -1,4 +1,4 @@
-/* How long the answer to a call is waited for, by what answers took. */
+/* Adaptive timeout of calls to a service, derived from its response times. */
 #ifndef CC_CALL_TIMEOUT_H
 #define CC_CALL_TIMEOUT_H
 
@@ -6,11 +6,11 @@
 
 typedef struct
 {
-  gint64 least; /* bounds of the timeout, us */
-  gint64 most;
-  gint64 smoothed;  /* of the time that answers take, us; 0: none came */
-  gint64 deviation; /* mean of what answers took beyond it, us */
-  gint64 current;   /* of the next call, us */
+  gint64 least;     /* lower bound of the timeout, us */
+  gint64 most;      /* upper bound of the timeout, us */
+  gint64 smoothed;  /* smoothed response time, us; 0: no response yet */
+  gint64 deviation; /* mean excess of response times over it, us */
+  gint64 current;   /* timeout of the next call, us */
 } CcCallTimeout;
 
 void cc_call_timeout_init (CcCallTimeout *t, gint64 least, gint64 most);
--- a/connection_health.c
+++ b/connection_health.c
@@ -1,32 +1,32 @@
-/* The failure: a box between here and a server forgets the connections it knew.
- * What is sent on them is swallowed, new ones work.  The symptom without this
- * module: idempotent work, which travels on kept connections, waits to its
- * deadline, and each connection that times out takes another request with it.
- * Once-only work is not touched, it opens a connection for each attempt.
+/* Failure: a device on the path to a server loses its connection state.  What
+ * is sent on existing connections is discarded silently, while new connections
+ * work.  Without this module, idempotent requests, which are sent on
+ * persistent connections, wait until their deadline, and each connection that
+ * times out delays another request.  Work that must not run twice is not
+ * affected: each attempt opens a connection.
  *
- * Two things are asked: the attempt is long overdue for its kind, and a call on
- * a fresh connection, sent after it, was answered.  A server that is frozen or
- * gone answers no probe.  One that has just become slow can't be told from
- * silent connections; it costs the work in it a second attempt, which the
- * retries' budget bounds at a tenth.
+ * A connection is suspect if the attempt is long overdue for its kind of work
+ * and a call on a new connection, sent after it, was answered.  A server that
+ * is stalled or gone answers no probe.  A server that has just become slow
+ * cannot be told from silent connections; its requests then get a second
+ * attempt, which the retry budget bounds at a tenth.
  *
- * That others on kept connections are answered is no proof to the contrary:
- * they may have opened theirs since.  (Tried; no pool was dropped, and requests
- * went on to time out one by one.)
- */
+ * Responses to other requests on persistent connections prove nothing, since
+ * those connections may have been opened later.  When they were taken as
+ * proof, no pool was dropped and requests timed out one by one. */
 #include "connection_health.h"
 
-#define EXPECTED_FACTOR 8 /* a queue in the server of twice its slots */
+#define EXPECTED_FACTOR 8 /* covers a queue of twice the server's slots */
 
-/* A call on a fresh connection, sent at SENT, was answered. */
+/* Records the response to a call sent at SENT on a new connection. */
 void
 cc_connection_probe_answered (CcConnectionHealth *h, gint64 sent)
 {
-  h->proven = MAX (h->proven, sent);
+  h->probed_at = MAX (h->probed_at, sent);
 }
 
-/* What to do at NOW about an attempt on a kept connection that was sent at SENT
- * and should take EXPECTED us. */
+/* Returns what to do at NOW about an attempt that was sent at SENT on a
+ * persistent connection and should take EXPECTED, us. */
 CcConnectionAction
 cc_connection_classify (const CcConnectionHealth *h, gint64 sent,
                         gint64 expected, gint64 now)
@@ -35,16 +35,16 @@
 
   if (now - sent <= limit)
     return CC_CONNECTION_KEEP;
-  return h->proven > sent ? CC_CONNECTION_SUSPECT : CC_CONNECTION_PROBE;
+  return h->probed_at > sent ? CC_CONNECTION_SUSPECT : CC_CONNECTION_PROBE;
 }
 
-/* Whether the other kept connections are to be dropped, too, after a suspect
- * one was found at NOW. */
+/* Returns whether the other persistent connections are to be dropped as well,
+ * after a suspect one was found at NOW. */
 gboolean
 cc_connection_drop_due (CcConnectionHealth *h, gint64 now)
 {
-  if (h->dropped != 0 && now - h->dropped < CC_CONNECTION_DROP_PERIOD)
+  if (h->dropped_at != 0 && now - h->dropped_at < CC_CONNECTION_DROP_PERIOD)
     return FALSE;
-  h->dropped = now;
+  h->dropped_at = now;
   return TRUE;
 }
--- a/isolation.h
+++ b/isolation.h
@@ -1,10 +1,10 @@
-/* Whether this process is cut off from the rest. */
+/* Detects that this process is cut off from the rest of the deployment. */
 #ifndef CC_ISOLATION_H
 #define CC_ISOLATION_H
 
 #include "targets.h"
 
 gboolean cc_isolation_is_cut_off (const CcTargets *targets, const char *zone,
-                                  gint64 heard_at, gint64 now);
+                                  gint64 updated_at, gint64 now);
 
 #endif
--- a/link_health.c
+++ b/link_health.c
@@ -1,25 +1,24 @@
-/* The failure: something between two processes loses track of a connection.
- * Both ends see it open, what is written is swallowed, no error ever comes.
- * The symptom without this module: callers wait to their deadlines, and so do
- * all later ones, as long as the processes live.
+/* Failure: a device between two processes loses the state of a connection.
+ * Both ends see the connection open, what is written is discarded, and no
+ * error is ever reported.  Without this module, callers wait until their
+ * deadlines, and so do all later ones for as long as the processes live.
  *
- * So links are pinged, and a ping is answered over the peer's own connection to
- * us: an answer proves both directions and that the peer's main loop turns.
- * The peer does the same, so each end closes the connection that it dialled.
- * A connection is used for requests only when a ping on it was answered, which
- * makes the fresh connection the test: as long as the peer is frozen, or the
- * path is gone, requests are refused at once instead of being lost in it.
+ * Links are therefore pinged, and a ping is answered over the peer's own
+ * connection to this process: a response proves both directions and that the
+ * peer's main loop is running.  The peer does the same, so each end closes the
+ * connection that it opened.  A connection is used for requests only after a
+ * ping on it was answered.  As long as the peer is stalled or the path is
+ * down, requests are refused at once instead of being lost.
  *
  * A process that was itself paused finds old pings unanswered although the
- * answers lie in its own buffers; so the time that it did not look does not
- * count.
- */
+ * responses are in its own receive buffers, so time without polling does not
+ * count. */
 #include "link_health.h"
 
-/* A gap between looks that is longer means that this process was paused. */
-#define LOOK_GAP_MAX (2 * CC_PING_PERIOD)
+/* A longer gap between polls means that this process was paused. */
+#define POLL_GAP_MAX (2 * CC_PING_PERIOD)
 
-/* A connection was made at NOW.  It has to prove itself. */
+/* Records a new connection at NOW.  It is unproven until a ping is answered. */
 void
 cc_link_connected (CcLinkHealth *h, gint64 now)
 {
@@ -30,7 +29,7 @@
   h->used = now;
 }
 
-/* The connection is gone, by itself or closed. */
+/* Records that the connection was lost or closed. */
 void
 cc_link_lost (CcLinkHealth *h)
 {
@@ -39,15 +38,16 @@
   h->waiting_since = 0;
 }
 
-/* A message other than a ping was sent at NOW. */
+/* Records that a message other than a ping was sent at NOW. */
 void
 cc_link_used (CcLinkHealth *h, gint64 now)
 {
   h->used = now;
 }
 
-/* The ping SEQUENCE was answered.  Answers to pings on earlier connections
- * prove nothing: their numbers are below the first one of this. */
+/* Records the response to ping SEQUENCE.  Responses to pings on earlier
+ * connections are ignored: their numbers are below the first one of this
+ * connection. */
 void
 cc_link_answered (CcLinkHealth *h, guint64 sequence, gint64 now)
 {
@@ -61,14 +61,15 @@
 static void
 skip_own_pause (CcLinkHealth *h, gint64 now)
 {
-  gint64 gap = h->looked != 0 ? now - h->looked : 0;
+  gint64 gap = h->polled != 0 ? now - h->polled : 0;
 
-  h->looked = now;
-  if (gap > LOOK_GAP_MAX && h->waiting_since != 0)
+  h->polled = now;
+  if (gap > POLL_GAP_MAX && h->waiting_since != 0)
     h->waiting_since += gap;
 }
 
-/* What to do at NOW; to be called every CC_PING_PERIOD or more often. */
+/* Returns what to do at NOW; to be called every CC_PING_PERIOD or more often.
+ */
 CcLinkAction
 cc_link_poll (CcLinkHealth *h, gint64 now)
 {
--- a/link_health.h
+++ b/link_health.h
@@ -1,39 +1,40 @@
-/* Whether a link between two processes still carries messages both ways. */
+/* Detects links between two processes that no longer carry messages in both
+ * directions. */
 #ifndef CC_LINK_HEALTH_H
 #define CC_LINK_HEALTH_H
 
 #include "capercrank.h"
 
-/* Between two pings of a link in use.  Five make the limit below, so that one
- * delayed answer decides nothing. */
+/* Ping period of a link in use.  Five periods make the limit below, so a
+ * single delayed response decides nothing. */
 #define CC_PING_PERIOD (100 * CC_MS)
-/* And of an idle one: a link that went silent unused is found before a request
- * meets it. */
+/* Ping period of an idle link, so that a link that went silent while unused is
+ * detected before a request is sent on it. */
 #define CC_PING_IDLE_PERIOD (1000 * CC_MS)
-/* A link is idle when nothing but pings was sent for so long. */
+/* A link is idle when nothing but pings was sent for this time. */
 #define CC_LINK_IDLE_AFTER (2 * CC_SECOND)
-/* A ping unanswered for so long: the link is silent.  A quarter of the shortest
- * timeout of a class today (2 s), and well above the pauses of a busy process
- * (up to 200 ms seen on a loaded machine). */
+/* A link with a ping unanswered for this time is silent.  This is a quarter of
+ * the shortest usual class timeout (2 s), and well above the pauses of a busy
+ * process (up to 200 ms seen on a loaded machine). */
 #define CC_LINK_SILENT_AFTER (500 * CC_MS)
 
 typedef enum
 {
   CC_LINK_WAIT,  /* nothing to do */
   CC_LINK_PING,  /* send a ping with the number in `sequence` */
-  CC_LINK_SILENT /* close the connection and dial afresh */
+  CC_LINK_SILENT /* close the connection and reconnect */
 } CcLinkAction;
 
 typedef struct
 {
   gboolean connected;
-  gboolean proven;      /* a ping on this connection was answered */
-  guint64 first;        /* number of the first ping on this connection */
-  guint64 sequence;     /* of the last ping sent */
-  gint64 pinged;        /* when that was, us; 0: none on this connection */
-  gint64 waiting_since; /* the oldest unanswered ping, us; 0: none */
-  gint64 used;          /* when anything else was last sent, us */
-  gint64 looked;        /* last look, us; 0: none */
+  gboolean proven;  /* a ping on this connection was answered */
+  guint64 first;    /* sequence number of the first ping on this connection */
+  guint64 sequence; /* sequence number of the last ping sent */
+  gint64 pinged;    /* when it was sent, us; 0: none on this connection */
+  gint64 waiting_since; /* oldest unanswered ping, us; 0: none */
+  gint64 used;          /* when anything but a ping was last sent, us */
+  gint64 polled;        /* last call of cc_link_poll, us; 0: none */
 } CcLinkHealth;
 
 void cc_link_connected (CcLinkHealth *h, gint64 now);
--- a/retry.c
+++ b/retry.c
@@ -1,31 +1,31 @@
-/* Load pattern: failures in a wave, as when a server sheds or its connections
- * break together.
+/* Load pattern: many failures at once, as when a server sheds or its
+ * connections break together.
  *
- * What happens without it: three tries each turn a server at capacity into one
- * at three times capacity, for as long as the failures last, which they then
- * do for ever.
+ * Failure: with three tries each, a server at capacity gets three times its
+ * capacity, for as long as attempts fail, and under that load they fail
+ * indefinitely.
  *
- * A budget for each class, as in the SRE book (2016): retries are a tenth of
- * first attempts, in the long run; a burst of BURST may be saved up, so that
- * a single connection's loss is mended also on a quiet server.  An attempt
- * that may have run is made again only if the class is idempotent; no budget
- * allows it otherwise.  Two tries in all: the second meets the same server,
- * since a key has one owner, and if that fails, too, the caller knows best.
- */
+ * Each class has a budget, as in the SRE book (2016): in the long run retries
+ * are a tenth of first attempts, and up to BURST retries may be saved, so that
+ * the loss of a single connection is recovered on a quiet server, too.  An
+ * attempt that may have run is made again only if the class is idempotent; no
+ * budget allows it otherwise.  There are at most two tries: the second goes to
+ * the same server, since a key has one owner, and if that fails as well the
+ * decision is left to the caller. */
 #include "retry.h"
 
-#define COST 10  /* first attempts that pay for a retry: a tenth */
-#define BURST 10 /* retries saved up at most; a server's connections in use */
+#define COST 10  /* first attempts that earn one retry: a tenth */
+#define BURST 10 /* most retries saved: connections in use at a server */
 #define TRIES_MAX 2
 
-/* Makes R empty: every class begins with a full budget. */
+/* Initialises R; every class starts with a full budget. */
 void
 cc_retries_init (CcRetries *r)
 {
   r->budgets = g_hash_table_new_full (NULL, NULL, NULL, g_free);
 }
 
-/* Frees what R holds. */
+/* Frees the memory of R. */
 void
 cc_retries_clear (CcRetries *r)
 {
@@ -45,7 +45,7 @@
   return b;
 }
 
-/* A first attempt of the class was made. */
+/* Adds to the budget of CLASS_ID for a first attempt. */
 void
 cc_retries_earn (CcRetries *r, guint class_id)
 {
@@ -54,7 +54,8 @@
   *b = MIN (*b + 1, COST * BURST);
 }
 
-/* Whether an attempt that ended in FAILURE after TRIES could be made again. */
+/* Returns whether an attempt that ended in FAILURE after TRIES may be made
+ * again. */
 gboolean
 cc_retries_allowed (CcRetries *r, guint class_id, gboolean once_only,
                     CcFailure failure, guint tries)
@@ -64,7 +65,8 @@
   return tries < TRIES_MAX && *find_budget (r, class_id) >= COST;
 }
 
-/* As cc_retries_allowed, and pays for it if so. */
+/* Same as cc_retries_allowed, and takes the retry from the budget if it is
+ * allowed. */
 gboolean
 cc_retries_take (CcRetries *r, guint class_id, gboolean once_only,
                  CcFailure failure, guint tries)
--- a/retry.h
+++ b/retry.h
@@ -1,4 +1,4 @@
-/* Whether an attempt that failed is made again. */
+/* Retry budgets of a dispatcher: whether a failed attempt is made again. */
 #ifndef CC_RETRY_H
 #define CC_RETRY_H
 
@@ -6,14 +6,14 @@
 
 typedef enum
 {
-  CC_FAIL_NOT_RUN, /* proof: nothing left us, or the server refused it */
+  CC_FAIL_NOT_RUN, /* proven: nothing was sent, or the server refused it */
   CC_FAIL_UNKNOWN  /* it may have run */
 } CcFailure;
 
-/* Budgets by class. */
+/* Retry budgets by class. */
 typedef struct
 {
-  GHashTable *budgets; /* class id to guint, in first attempts */
+  GHashTable *budgets; /* class id to guint, counted in first attempts */
 } CcRetries;
 
 void cc_retries_init (CcRetries *r);
--- a/retry_budget.h
+++ b/retry_budget.h
@@ -1,11 +1,12 @@
-/* How many attempts beyond the first the whole fleet may make at a pool. */
+/* Retry budget of a pool: how many attempts beyond the first the whole fleet
+ * may make there. */
 #ifndef CC_RETRY_BUDGET_H
 #define CC_RETRY_BUDGET_H
 
 #include "capercrank.h"
 
-/* The operators' bound: in any window the fleet makes at most
- * ratio x requests + slack repeated attempts. */
+/* The configured bound: in any window the fleet makes at most ratio x requests
+ * + slack repeated attempts. */
 typedef struct
 {
   double ratio;
@@ -13,11 +14,11 @@
   gint64 window; /* us */
 } CcRetryBound;
 
-/* This entry's part of it at one pool. */
+/* This entry's part of the budget of one pool. */
 typedef struct
 {
-  double tokens;  /* attempts that may be made now */
-  gint64 updated; /* us; 0: never */
+  double tokens;  /* repeated attempts that may be made now */
+  gint64 updated; /* last refill, us; 0: never */
 } CcRetryBudget;
 
 void cc_retry_budget_earn (CcRetryBudget *b, const CcRetryBound *bound);
--- a/test/test_call_timeout.c
+++ b/test/test_call_timeout.c
@@ -1,8 +1,6 @@
-/* How long a service is waited for that answers, loses calls or is slow.
- *
- * What callers would see if it failed: keys without an owner for as long as the
- * table service is slow, since no renewal and no change of owners is answered
- * within a fixed timeout. */
+/* Guards against keys that have no owner as long as the table service is slow,
+ * since a fixed timeout ends every lease renewal and owner change before its
+ * response.  The cases are sequences of fast, slow and lost responses. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,10 +17,10 @@
 typedef struct
 {
   const char *name;
-  guint answers[12]; /* ms that the service takes for each call */
+  guint answers[12]; /* response time of each call, ms */
   guint count;
-  guint expired_most; /* calls that may be given up */
-  guint left_most;    /* the timeout after them at most, ms */
+  guint expired_most; /* most calls that may expire */
+  guint left_most;    /* longest timeout after them, ms */
 } Case;
 
 static const Case cases[] = {
@@ -46,7 +44,7 @@
   { "was slow", { 900, 900, 5, 5, 5, 5, 5, 5, 5, 5, 5, 5 }, 12, 1, 1100 },
 };
 
-/* Guards against a slow service of which no call is ever answered in time. */
+/* Guards against a slow service of which no call ever succeeds. */
 static void
 slow_answers_are_waited_for (void **state)
 {
@@ -72,12 +70,12 @@
             }
         }
       if (expired > c->expired_most || t.current > c->left_most * CC_MS)
-        fail_msg ("%s: %u calls given up, then a timeout of %u ms", c->name,
+        fail_msg ("%s: %u calls expired, then a timeout of %u ms", c->name,
                   expired, (guint) (t.current / CC_MS));
     }
 }
 
-/* Guards against one outage that counts once for each call under way. */
+/* Guards against one outage that doubles the timeout once per pending call. */
 static void
 calls_under_way_count_once (void **state)
 {
--- a/test/test_hedge.c
+++ b/test/test_hedge.c
@@ -1,4 +1,5 @@
-/* When an attempt at idempotent work is given up for a fresh one. */
+/* Guards against reads that wait on a silent connection until their deadline,
+ * and against second attempts that only add work to a slow server. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,11 +12,11 @@
 typedef struct
 {
   const char *name;
-  CcHedgeAttempt ask;
+  CcHedgeAttempt attempt;
   gboolean again;
 } Case;
 
-/* once-only, age in us, overtaken, cost of mean and deviation in us */
+/* once-only, age in us, later answers, mean and deviation of the cost in us */
 static const Case cases[] = {
   { "silent connection", { FALSE, 40000, 4, { 4000, 1000 } }, TRUE },
   { "slow server: slow for all", { FALSE, 40000, 3, { 4000, 1000 } }, FALSE },
@@ -29,7 +30,7 @@
 test_cases (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
-    if (cc_hedge_decide (&cases[i].ask) != cases[i].again)
+    if (cc_hedge_decide (&cases[i].attempt) != cases[i].again)
       fail_msg ("%s", cases[i].name);
 }
 
@@ -42,10 +43,10 @@
   cc_load_done (l, w, CC_LOAD_ANSWERED, now + 4 * CC_MS);
 }
 
-/* A read goes out on a connection that has gone silent.  Others are answered
- * meanwhile.  The caller would be told "unknown" at the deadline; instead the
- * attempt is given up, the limit stays, since the server is well, and the
- * read goes out again.  The second attempt is never given up. */
+/* A read is sent on a connection that has gone silent, and later requests are
+ * answered.  Instead of an unknown outcome at the deadline, the attempt is
+ * abandoned and sent again; the limit stays, since the server is healthy.  The
+ * second attempt is never abandoned. */
 static void
 test_silent_connection (void **state)
 {
--- a/test/test_isolation.c
+++ b/test/test_isolation.c
@@ -1,9 +1,6 @@
-/* When an entry says that it is cut off.
- *
- * What callers would see if it failed: callers of a zone that is cut off are
- * refused by its entries, one after the other, though those of the next zone
- * could serve them; or a whole fleet sends its callers away because the table
- * service is down, while every upstream works. */
+/* Guards against callers refused by a zone that is cut off although the next
+ * zone could serve them, and against a fleet that becomes unready because the
+ * table service is down while every upstream works. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -17,23 +14,23 @@
 typedef struct
 {
   const char *name;
-  gint64 silence_ms; /* of the table service and the peer that is followed */
-  guint near;        /* upstreams of the own zone, all reached */
+  gint64 silence_ms; /* since the last update from table service or peer */
+  guint near;        /* upstreams of the local zone, all reached */
   guint reached;     /* of other zones */
   guint unreached;
-  guint unknown; /* of other zones, not sent to */
+  guint unknown; /* of other zones, without any attempt */
   gboolean cut_off;
 } Case;
 
 static const Case cases[] = {
-  { "all is well", 300, 4, 12, 0, 0, FALSE },
+  { "all reachable", 300, 4, 12, 0, 0, FALSE },
   { "the zone is cut off", 2000, 4, 0, 9, 3, TRUE },
-  { "... just now", 1000, 4, 0, 9, 3, FALSE },
+  { "... since a moment ago", 1000, 4, 0, 9, 3, FALSE },
   { "the table service is down", 5000, 4, 12, 0, 0, FALSE },
   { "... and some upstreams with it", 5000, 4, 8, 4, 0, FALSE },
-  { "upstreams are down, the rest is well", 300, 4, 2, 10, 0, FALSE },
-  { "nobody asks for anything", 5000, 0, 0, 0, 12, FALSE },
-  { "two upstreams are down, little is asked", 5000, 1, 0, 2, 10, FALSE },
+  { "upstreams are down, the rest is healthy", 300, 4, 2, 10, 0, FALSE },
+  { "no requests", 5000, 0, 0, 0, 12, FALSE },
+  { "two upstreams are down, few requests", 5000, 1, 0, 2, 10, FALSE },
   { "all are in one zone", 5000, 12, 0, 0, 0, FALSE },
 };
 
@@ -61,10 +58,10 @@
   guint count;
 } World;
 
-/* Lists N upstreams of ZONE, which answered or could not be reached, if EITHER.
- */
+/* Lists N upstreams of ZONE.  If ATTEMPTED, each has answered an attempt
+ * (REACHED) or could not be reached. */
 static void
-list (World *w, guint n, const char *zone, gboolean either, gboolean reached,
+list (World *w, guint n, const char *zone, gboolean attempted, gboolean reached,
       gint64 now)
 {
   CcVersionClock clock = { 0 };
@@ -81,13 +78,13 @@
       cc_targets_update (&w->targets, &listed, decode, now, ignore_change,
                          NULL);
       t = cc_targets_find (&w->targets, id);
-      if (either)
+      if (attempted)
         cc_pick_ended (&t->load, &r, now - 500 * CC_MS);
     }
 }
 
 static void
-only_silence_and_unreachable_upstreams_are_a_cut (void **state)
+cut_off_requires_no_updates_and_unreachable_upstreams (void **state)
 {
   gint64 now = 100 * CC_SECOND;
 
@@ -115,7 +112,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (only_silence_and_unreachable_upstreams_are_a_cut),
+    cmocka_unit_test (cut_off_requires_no_updates_and_unreachable_upstreams),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_link_health.c
+++ b/test/test_link_health.c
@@ -1,14 +1,12 @@
-/* Links that go silent, links whose peer is frozen, and a process that was
- * itself paused: told by a script of one letter for each look, 100 ms apart.
+/* Guards against requests lost on links that have gone silent or whose peer is
+ * stalled, and against links closed since this process itself was paused.
+ * Scripts have one letter for each poll, 100 ms apart:
  *
  *   c  a connection is made        l  it is lost
- *   a  the last ping is answered   o  an answer to a ping of an earlier
- *   .  nothing                        connection comes
- *   P  this process was paused for 5 s before the look
- *   I  3 s go by with looks, all answered, none used (idle)
- *
- * The caller sees requests refused while a link is not proven, and "unknown"
- * at once when it is silent. */
+ *   a  the last ping is answered   o  a ping of an earlier connection
+ *   .  nothing                        is answered
+ *   P  this process was paused for 5 s before the poll
+ *   I  3 s with polls, all answered, link not used (idle) */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -54,21 +52,21 @@
   static const struct
   {
     const char *script;
-    gint silent_at; /* look, from 0; -1: never */
+    gint silent_at; /* poll, from 0; -1: never */
     gboolean proven;
   } cases[] = {
-    { "......", -1, FALSE },     /* no connection: nothing to judge */
+    { "......", -1, FALSE },     /* no connection: nothing to check */
     { "c", -1, FALSE },          /* connected is not proven */
     { "caaaaaaaaaa", -1, TRUE }, /* healthy */
-    { "ca.....", 6, FALSE },     /* goes silent: 500 ms after its last ping */
-    { "ca....aaaa", -1, TRUE },  /* an answer in time */
-    { "c.....", 5, FALSE },      /* the fresh one is silent, too: frozen */
-    { "co....", 5, FALSE },      /* an old connection's answer is no proof */
-    { "ca...Paaa", -1, TRUE },   /* our own pause is not its silence */
-    { "ca...P.....", 7, FALSE }, /* but a silence after it is */
-    { "ca..lca", -1, TRUE },     /* the old silence is forgotten */
+    { "ca.....", 6, FALSE },     /* silent: 500 ms after its last ping */
+    { "ca....aaaa", -1, TRUE },  /* a response in time */
+    { "c.....", 5, FALSE },      /* the new one is silent, too: stalled */
+    { "co....", 5, FALSE },      /* an old connection's ping does not count */
+    { "ca...Paaa", -1, TRUE },   /* a local pause does not count as silence */
+    { "ca...P.....", 7, FALSE }, /* but silence after it does */
+    { "ca..lca", -1, TRUE },     /* silence of the old connection is not kept */
     { "caIa", -1, TRUE },        /* idle and healthy */
-    { "caI................", 14, FALSE } /* idle: found, up to a second later */
+    { "caI................", 14, FALSE } /* idle: detected within 1 s more */
   };
 
   (void) state;
@@ -77,14 +75,14 @@
       CcLinkHealth h = { 0 };
       gint64 now = 1000 * CC_SECOND;
       gint silent = -1;
-      gint look = 0;
+      gint poll = 0;
 
-      for (const char *s = cases[i].script; *s != '\0'; s++, look++)
+      for (const char *s = cases[i].script; *s != '\0'; s++, poll++)
         {
           act (&h, *s, &now);
           if (cc_link_poll (&h, now) == CC_LINK_SILENT && silent < 0)
             {
-              silent = look;
+              silent = poll;
               cc_link_lost (&h);
             }
           now += CC_PING_PERIOD;
--- a/test/test_retry.c
+++ b/test/test_retry.c
@@ -1,4 +1,5 @@
-/* The budget of retries, against counting by hand. */
+/* Guards against retries that multiply the load of a failing server, and
+ * against retries of work that must not run twice. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -40,9 +41,9 @@
     }
 }
 
-/* Everything fails: naive, three tries each make three times the load.  Here
- * each seed draws a share of failures, and retries stay within a tenth of the
- * first attempts and the burst; another class's budget is untouched. */
+/* With three tries for each request, failures would triple the load.  Each
+ * seed draws a failure rate; retries stay within a tenth of the first attempts
+ * plus the burst, and another class's budget is not affected. */
 static void
 test_wave_of_failures (void **state)
 {
--- a/test/test_work_times.c
+++ b/test/test_work_times.c
@@ -1,8 +1,5 @@
-/* How long work is expected to take, by its kind and by the upstream.
- *
- * What callers would see if it failed: short requests refused because the pool
- * also gets long ones, or refused at an idle upstream whose first answer
- * happened to take long. */
+/* Guards against short requests refused because the pool also receives long
+ * ones, or refused at an idle upstream because its first response took long. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -15,8 +12,8 @@
 #define SHORT (150.0 * CC_MS)
 #define LONG (880.0 * CC_MS)
 
-/* A pool gets both kinds of work, the long one first; an entry that has had
- * three answers of each knows them apart. */
+/* A pool receives long and short work, the long one first; after three
+ * responses of each, the entry knows both times. */
 static void
 kinds_of_work_are_told_apart_after_a_few_answers (void **state)
 {
@@ -36,14 +33,14 @@
   cc_work_times_clear (&t);
 }
 
-/* The caller sees its connection closed without an answer: it sent a long
- * request to a process that was about to end, which took it in since most
- * requests are short, and was killed before the answer came.  What a kind may
- * take is drawn from its own answers, and is not known before the first. */
+/* A stopping process accepted a long request, since most requests are short,
+ * and was killed before the response: the caller's connection was closed.  The
+ * longest time of a kind is taken from its own responses, and is unknown
+ * before the first. */
 static void
 a_stopping_process_knows_what_takes_too_long (void **state)
 {
-  gint64 left = 2519 * CC_MS; /* until the process ends */
+  gint64 left = 2519 * CC_MS; /* until the process exits */
   CcWorkTimes t;
 
   (void) state;
@@ -62,10 +59,10 @@
 typedef struct
 {
   const char *name;
-  double factor;     /* of the answers' times */
-  guint answers;     /* one each 400 ms */
-  gint64 silence_ms; /* since the last */
-  double least;      /* slowness that is to be believed */
+  double factor;     /* factor on the response times */
+  guint answers;     /* responses, one each 400 ms */
+  gint64 silence_ms; /* time since the last one */
+  double least;      /* bounds of the estimated slowness */
   double most;
 } Case;
 
--- a/work_times.c
+++ b/work_times.c
@@ -1,23 +1,23 @@
-/* Load pattern: a pool gets kinds of work of which one takes six times as long
- * as another, as when a route is pointed to it by a new configuration.  By one
- * mean for all, short work is refused for a time that only long work takes, and
- * long work is sent where it can't be in time.
+/* Load pattern: a pool receives kinds of work of which one takes six times as
+ * long as another, for example when a new configuration points a route to it.
+ * With one mean for all, short work is refused because of a time that only
+ * long work takes, and long work is sent where it cannot be in time.
  *
- * A kind is a route.  Its mean is drawn from all answers while they are few, so
- * that an entry that has just started is not off for the first minute, and then
- * follows the newer ones. */
+ * A kind is a route.  Its mean is taken over all responses while they are few,
+ * so that an entry that has just started is not wrong for its first minute;
+ * after that it is a moving mean. */
 #include "work_times.h"
 
-/* Time for an answer of which nothing is known. */
-#define UNKNOWN (100.0 * CC_MS)
-/* Answers that a mean follows: it is off by a fifth then, as times vary by
- * about their mean. */
-#define FOLLOWED 20
-/* Hardly any answer takes this many times the mean: one in a hundred if times
- * vary by their mean, as they do at the most irregular of services. */
-#define LONGEST 4.5
+/* Work time without any measurement, us. */
+#define DEFAULT_WORK_TIME (100.0 * CC_MS)
+/* Window of the moving mean, in responses: its error is then a fifth, as times
+ * deviate by about their mean. */
+#define MEAN_WINDOW 20
+/* Factor on the mean that one response in a hundred exceeds if times deviate
+ * by their mean, as they do at services with the most variable times. */
+#define LONGEST_FACTOR 4.5
 
-/* No time is known. */
+/* Initialises T without any measurement. */
 void
 cc_work_times_init (CcWorkTimes *t)
 {
@@ -25,7 +25,7 @@
   t->any = (CcWorkTime){ 0 };
 }
 
-/* Frees what T holds. */
+/* Frees the memory of T. */
 void
 cc_work_times_clear (CcWorkTimes *t)
 {
@@ -33,14 +33,14 @@
 }
 
 static void
-add (CcWorkTime *u, double work)
+update_mean (CcWorkTime *u, double work)
 {
-  if (u->answers < FOLLOWED)
+  if (u->answers < MEAN_WINDOW)
     u->answers++;
   u->mean += (work - u->mean) / u->answers;
 }
 
-/* An answer of KIND took WORK us of work. */
+/* Records a response of KIND that took WORK us of work. */
 void
 cc_work_times_add (CcWorkTimes *t, const char *kind, double work)
 {
@@ -51,27 +51,28 @@
       u = g_new0 (CcWorkTime, 1);
       g_hash_table_insert (t->kinds, g_strdup (kind), u);
     }
-  add (u, work);
-  add (&t->any, work);
+  update_mean (u, work);
+  update_mean (&t->any, work);
 }
 
-/* The time that work of any kind takes, us. */
+/* Returns the mean work time over all kinds, us. */
 double
 cc_work_times_any (const CcWorkTimes *t)
 {
-  return t->any.answers > 0 ? t->any.mean : UNKNOWN;
+  return t->any.answers > 0 ? t->any.mean : DEFAULT_WORK_TIME;
 }
 
-/* How long hardly any request of KIND takes, us; G_MAXINT64: not known yet. */
+/* Returns a time that few requests of KIND exceed, us; G_MAXINT64 if KIND was
+ * never measured. */
 gint64
 cc_work_times_longest (const CcWorkTimes *t, const char *kind)
 {
   const CcWorkTime *u = g_hash_table_lookup (t->kinds, kind);
 
-  return u != NULL ? (gint64) (LONGEST * u->mean) : G_MAXINT64;
+  return u != NULL ? (gint64) (LONGEST_FACTOR * u->mean) : G_MAXINT64;
 }
 
-/* The times that are to be expected for a request of KIND. */
+/* Returns the typical work times for a request of KIND. */
 CcTypicalWork
 cc_work_times_of (const CcWorkTimes *t, const char *kind)
 {
--- a/work_times.h
+++ b/work_times.h
@@ -1,20 +1,20 @@
-/* How long the kinds of work that a pool gets usually take there. */
+/* Typical work times of the kinds of work that a pool receives. */
 #ifndef CC_WORK_TIMES_H
 #define CC_WORK_TIMES_H
 
 #include "pick.h"
 
-/* A mean that follows its values. */
+/* A moving mean. */
 typedef struct
 {
   double mean;   /* us */
-  guint answers; /* that it was drawn from, up to the number that it follows */
+  guint answers; /* number of responses in it, up to the window */
 } CcWorkTime;
 
 typedef struct
 {
   GHashTable *kinds; /* name to CcWorkTime */
-  CcWorkTime any;    /* of all kinds, as often as they come */
+  CcWorkTime any;    /* over all kinds, weighted by frequency */
 } CcWorkTimes;
 
 void cc_work_times_init (CcWorkTimes *t);
