--- a/cut_off.c
+++ b/cut_off.c
@@ -1,20 +1,22 @@
-/* A pool with "cut_off": "keep" is served on by a dispatcher that has lost its
- * lease, because its zone may be cut off from everything and have callers of
- * its own.  Silence can't tell that from a lost zone, so its servers are given
- * to others only when the dispatcher has certainly stopped:
+/* In a pool with "cut_off": "keep", a dispatcher that has lost its lease goes
+ * on serving, because its zone may be cut off from all others and have callers
+ * of its own.  A missing lease does not distinguish that from a lost zone, so
+ * its servers are given to other dispatchers only when it has certainly
+ * stopped:
  *
- *  - the platform lists its instance no more; or
- *  - its instance has registered anew.  The same process does so only after it
- *    let go of all it held under the old id; another process could not have
+ *  - the platform no longer lists its instance; or
+ *  - its instance has registered again.  The same process does so only after it
+ *    released all that it held under the old id; another process could not have
  *    taken the instance's address while the old one lived.
  *
- * Without this, two dispatchers would send to the server's keys, each zone
- * believing that it owns them. */
+ * Without this rule, two dispatchers would send to the server of a key, each
+ * zone treating itself as the owner. */
 #include "cut_off.h"
 
 #include <string.h>
 
-/* The length of the instance's name in ID, INSTANCE.INCARNATION.COUNT. */
+/* Returns the length of the instance's name in ID, INSTANCE.INCARNATION.COUNT.
+ */
 static gsize
 instance_length (const char *id)
 {
@@ -39,7 +41,7 @@
 }
 
 static gboolean
-has_registered_anew (const CcRoster *r, const char *id, gsize length)
+has_registered_again (const CcRoster *r, const char *id, gsize length)
 {
   for (guint i = 0; i < r->dispatchers->len; i++)
     {
@@ -51,9 +53,9 @@
   return FALSE;
 }
 
-/* Whether the dispatcher ID, which isn't in the roster R, has stopped sending
- * to the pool's servers.  A platform that lists no instance of ours at all is
- * not believed to say that all are gone. */
+/* Returns whether the dispatcher ID, which is not in the roster R, has stopped
+ * sending to the pool's servers.  A platform list without any instance of this
+ * deployment is taken as an error, not as proof that all have gone. */
 gboolean
 cc_cut_off_has_stopped (const CcRoster *r, const char *id)
 {
@@ -61,7 +63,7 @@
 
   if (!r->keeps || id[0] == '\0')
     return TRUE;
-  if (has_registered_anew (r, id, length))
+  if (has_registered_again (r, id, length))
     return TRUE;
   return r->instances->len > 0 && !is_listed (r, id, length);
 }
--- a/cut_off.h
+++ b/cut_off.h
@@ -1,4 +1,5 @@
-/* Whether a dispatcher without a lease has stopped, see cut_off.c. */
+/* Determines whether a dispatcher without a lease has stopped, see cut_off.c.
+ */
 #ifndef CC_CUT_OFF_H
 #define CC_CUT_OFF_H
 
--- a/pool_load.c
+++ b/pool_load.c
@@ -1,66 +1,70 @@
 /* Load pattern: a fleet grows with its pools.  All entries together send an
- * upstream as much as before, but a single one hears of it only every few
- * seconds.  Its last report is of no use then; taken for idle, upstreams get
- * more than they have room for, from entries of which none sees that.
+ * upstream as much as before, but a single entry receives a report of it only
+ * every few seconds, too old to be of use.  Upstreams that are assumed idle
+ * then get more than their capacity from entries none of which observes that.
  *
- * What one upstream says tells of the others as well: they get their load from
- * the same callers.  An entry hears of all of them together as often as it
- * sends to the pool, so the mean of these reports, weighted by their age, is
- * what it believes of an upstream of which it has no fresh report. */
+ * The upstreams of a pool get their load from the same callers, so the report
+ * of one is information on the others as well.  An entry receives reports of
+ * all of them together as often as it sends to the pool.  The mean of these
+ * reports, weighted by age, is its estimate for an upstream without a recent
+ * report. */
 #include "pool_load.h"
 
 #include <math.h>
 
-/* How often the sums of P fade by half from its last report until NOW. */
+/* Returns the number of half-lives from the last report of P until NOW. */
 static double
 halvings (const CcPoolLoad *p, gint64 now)
 {
-  return p->at == 0 ? 0.0 : (double) MAX (now - p->at, 0) / (double) p->half;
+  return p->at == 0 ? 0.0
+                    : (double) MAX (now - p->at, 0) / (double) p->half_life;
 }
 
 static void
-fade (CcPoolLoad *p, gint64 now)
+decay_sums (CcPoolLoad *p, gint64 now)
 {
   double n = halvings (p, now);
 
-  p->faded += n;
+  p->halvings += n;
   p->inside *= exp2 (-n);
   p->reports *= exp2 (-n);
   p->at = now;
 }
 
-/* An upstream of P was seen to have INSIDE requests for each of its slots; one
- * takes WORK us.  LAST is its last report: each counts once, or the mean would
- * be that of the few which get most requests. */
+/* Adds the report that an upstream of P has INSIDE requests for each of its
+ * slots; one takes WORK us.  LAST is its last report, which is replaced: each
+ * upstream counts once, or the mean would be that of the few which get most
+ * requests. */
 void
 cc_pool_load_add (CcPoolLoad *p, CcPoolReport *last, double inside, double work,
                   gint64 now)
 {
   double kept;
 
-  fade (p, now);
-  kept = last->said ? exp2 (last->faded - p->faded) : 0.0;
+  decay_sums (p, now);
+  kept = last->valid ? exp2 (last->halvings - p->halvings) : 0.0;
   p->inside = MAX (p->inside - kept * last->inside, 0.0) + inside;
   p->reports = MAX (p->reports - kept, 0.0) + 1.0;
-  p->most = MAX (p->most, inside);
-  /* In that time an upstream serves what it has inside. */
-  p->half = (gint64) (work * (1.0 + p->inside / p->reports)) + 1;
-  *last = (CcPoolReport){ TRUE, inside, p->faded };
+  p->max_inside = MAX (p->max_inside, inside);
+  /* The time in which an upstream serves what it has inside. */
+  p->half_life = (gint64) (work * (1.0 + p->inside / p->reports)) + 1;
+  *last = (CcPoolReport){ TRUE, inside, p->halvings };
 }
 
-/* An upstream of P reset a request.  It does so when it is full, but also when
- * it breaks; the first is believed while others say that requests wait. */
+/* Records that an upstream of P reset a request.  An upstream does so when it
+ * is full, but also when it fails; it counts as full while other reports say
+ * that requests wait. */
 void
 cc_pool_load_add_reset (CcPoolLoad *p, CcPoolReport *last, double work,
                         gint64 now)
 {
   if (p->reports > 0 && p->inside > p->reports)
-    cc_pool_load_add (p, last, p->most, work, now);
+    cc_pool_load_add (p, last, p->max_inside, work, now);
 }
 
-/* How many requests an upstream of P has inside for each of its slots, in the
- * mean.  The report of an idle upstream is added, which outweighs few or old
- * ones, so that who refuses all requests by them sends again. */
+/* Returns the mean number of requests inside an upstream of P per slot.  One
+ * report of an idle upstream is added; it outweighs few or old reports, so
+ * that an entry that refuses all requests because of them sends again. */
 double
 cc_pool_load_typical (const CcPoolLoad *p, gint64 now)
 {
--- a/pool_load.h
+++ b/pool_load.h
@@ -1,4 +1,5 @@
-/* How full a pool's upstreams are, from all that one entry hears of them. */
+/* Typical load of a pool's upstreams, from all reports that one entry
+ * receives. */
 #ifndef CC_POOL_LOAD_H
 #define CC_POOL_LOAD_H
 
@@ -6,21 +7,21 @@
 
 typedef struct
 {
-  double inside;  /* sum of requests inside by the last report of each upstream,
-                     per slot, faded */
-  double reports; /* how many reports that is of, faded */
-  double most;    /* reported by any upstream, per slot */
-  double faded;   /* how often the sums have faded by half so far */
-  gint64 at;      /* last report, us; 0: none */
-  gint64 half;    /* time in which the sums fade by half, us */
+  double inside;  /* decayed sum, over the last report of each upstream, of the
+                     requests inside per slot */
+  double reports; /* decayed number of reports in that sum */
+  double max_inside; /* largest report of any upstream, per slot */
+  double halvings;   /* half-lives for which the sums have decayed so far */
+  gint64 at;         /* time of the last report, us; 0: none */
+  gint64 half_life;  /* half-life of the sums, us */
 } CcPoolLoad;
 
-/* The last report of one upstream; 0 at first. */
+/* The last report of one upstream; initially zero. */
 typedef struct
 {
-  gboolean said;
-  double inside; /* per slot */
-  double faded;  /* of the pool then */
+  gboolean valid;
+  double inside;   /* requests inside per slot */
+  double halvings; /* halvings of the pool at that time */
 } CcPoolReport;
 
 void cc_pool_load_add (CcPoolLoad *p, CcPoolReport *last, double inside,
--- a/targets.c
+++ b/targets.c
@@ -1,23 +1,25 @@
 /* Keeps the upstreams by id and by pool.
  *
- * The failure: the list's keeper is down for some seconds and upstreams that
- * are alive lapse from the list together.  The symptom: every upstream is taken
- * as gone, and nothing is served although all of them work.  So after an outage
- * with the keeper, or when a quarter of a pool vanishes at one moment, missing
- * ones are used for CC_VANISH_GRACE on.  That is enough, since those that live
- * are listed again by then, and those that don't answer lose their requests to
- * others by their failures.
+ * Failure: the table service is down for some seconds, and rows of upstreams
+ * that are alive lapse together.  Without a grace period every upstream counts
+ * as gone, and nothing is served although all of them work.  So after an
+ * outage of the table service, or when a quarter of a pool goes missing at
+ * once, missing upstreams are used for another CC_VANISH_GRACE.  That is long
+ * enough, since those that are alive are listed again by then; those that do
+ * not respond lose their requests to others because of their failures.
  *
- * Times are counted from when a row was written at the earliest, and not from
- * when it was heard of: a peer's copy may have been old (version_clock.h). */
+ * Times are counted from the earliest moment at which a row may have been
+ * written, not from its arrival: a peer's copy may have been old
+ * (version_clock.h). */
 #include "targets.h"
 
-/* A pool's upstreams that vanish within one update and are taken for an outage
- * of the list's keeper: at least so many, and this share of the pool. */
+/* Upstreams of a pool that go missing within one update and are taken as an
+ * outage of the table service: at least this number, and at least this share
+ * of the pool. */
 #define OUTAGE_LEAST 3
 #define OUTAGE_SHARE 0.25
 
-/* Frees what L holds, not L. */
+/* Frees the memory of L, not L itself. */
 void
 cc_listing_clear (CcListing *l)
 {
@@ -43,7 +45,7 @@
   g_ptr_array_unref (data);
 }
 
-/* Makes T empty. */
+/* Initialises T without upstreams. */
 void
 cc_targets_init (CcTargets *t)
 {
@@ -53,7 +55,7 @@
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, list_free);
 }
 
-/* Frees what T holds. */
+/* Frees the memory of T. */
 void
 cc_targets_clear (CcTargets *t)
 {
@@ -75,7 +77,7 @@
 }
 
 static gboolean
-same_life (const CcListing *a, const CcListing *b)
+same_incarnation (const CcListing *a, const CcListing *b)
 {
   return a->born == b->born && g_str_equal (a->address, b->address) &&
          g_str_equal (a->pool, b->pool);
@@ -89,11 +91,12 @@
   t->state = state;
 }
 
-/* Takes over the strings of L, from a row that was WRITTEN at the earliest, us.
- * Returns TRUE if something changed that others need to know. */
+/* Takes ownership of the strings of L, from a row that was written no earlier
+ * than WRITTEN, us.  Returns TRUE if the upstream changed in a way that others
+ * are to be notified of. */
 static gboolean
-take_listing (CcTargets *all, CcListing *l, guint64 version, gint64 written,
-              gint64 now)
+apply_listing (CcTargets *all, CcListing *l, guint64 version, gint64 written,
+               gint64 now)
 {
   CcTarget *t = g_hash_table_lookup (all->by_id, l->id);
   CcTargetState state = l->leaving ? CC_TARGET_LEAVING : CC_TARGET_READY;
@@ -106,7 +109,7 @@
       g_hash_table_insert (all->by_id, g_strdup (l->id), t);
       g_ptr_array_add (pool_list (all, l->pool), t);
     }
-  else if (!same_life (&t->listing, l))
+  else if (!same_incarnation (&t->listing, l))
     {
       guint in_flight = t->load.in_flight;
 
@@ -118,13 +121,13 @@
       t->load = (CcTargetLoad){ .in_flight = in_flight };
       t->since = written;
     }
-  changed =
-      t->state != state || t->listing.id == NULL || !same_life (&t->listing, l);
+  changed = t->state != state || t->listing.id == NULL ||
+            !same_incarnation (&t->listing, l);
   cc_listing_clear (&t->listing);
   t->listing = *l;
   *l = (CcListing){ 0 };
   t->version = version;
-  t->vanished = FALSE;
+  t->missing = FALSE;
   t->load.slots = MAX (t->listing.slots, 1);
   if (t->listing.cold_for > 0)
     t->load.cold_until = now + t->listing.cold_for;
@@ -142,7 +145,8 @@
   gpointer data;
 } Update;
 
-/* When the row with VERSION was written at the earliest, us. */
+/* Returns the earliest time at which the row with VERSION may have been
+ * written, us. */
 static gint64
 written_after (const Update *u, guint64 version)
 {
@@ -151,50 +155,50 @@
 }
 
 static void
-note_vanished (const Update *u, CcTarget *t, guint64 version)
+mark_missing (const Update *u, CcTarget *t, guint64 version)
 {
-  if (t->vanished)
+  if (t->missing)
     return;
-  t->vanished = TRUE;
-  t->vanished_at = written_after (u, version);
-  t->missed_at = u->now;
+  t->missing = TRUE;
+  t->missing_since = written_after (u, version);
+  t->missing_found_at = u->now;
 }
 
 static void
-take_row (Update *u, const CcRow *row)
+apply_row (Update *u, const CcRow *row)
 {
   CcTarget *t = g_hash_table_lookup (u->all->by_id, row->key);
   CcListing l = { 0 };
 
   if (t != NULL && t->version >= row->version)
     {
-      t->vanished = FALSE;
+      t->missing = FALSE;
       return;
     }
   if (row->value == NULL || !u->decode (row->key, row->value, &l))
     {
-      /* A row that was deleted or can't be read names nobody. */
+      /* A row that was deleted or cannot be decoded names no upstream. */
       if (t != NULL)
-        note_vanished (u, t, row->version);
+        mark_missing (u, t, row->version);
       return;
     }
-  if (take_listing (u->all, &l, row->version, written_after (u, row->version),
-                    u->now))
+  if (apply_listing (u->all, &l, row->version, written_after (u, row->version),
+                     u->now))
     u->changed (g_hash_table_lookup (u->all->by_id, row->key), u->data);
 }
 
 static gboolean
-vanished_lately (const CcTarget *t, gint64 now)
+recently_missing (const CcTarget *t, gint64 now)
 {
-  return t->vanished && now - t->vanished_at < CC_VANISH_GRACE;
+  return t->missing && now - t->missing_since < CC_VANISH_GRACE;
 }
 
-/* Whether so much of a pool vanished lately that the list's keeper is to be
- * doubted. */
+/* Returns whether so much of POOL went missing recently that an outage of the
+ * table service is likely. */
 static gboolean
 looks_like_outage (const GPtrArray *pool, gint64 now)
 {
-  guint vanished = 0, listed = 0;
+  guint missing = 0, listed = 0;
 
   for (guint i = 0; i < pool->len; i++)
     {
@@ -203,62 +207,64 @@
       if (t->state == CC_TARGET_GONE)
         continue;
       listed++;
-      if (vanished_lately (t, now))
-        vanished++;
+      if (recently_missing (t, now))
+        missing++;
     }
-  return vanished >= OUTAGE_LEAST && vanished >= OUTAGE_SHARE * listed;
+  return missing >= OUTAGE_LEAST && missing >= OUTAGE_SHARE * listed;
 }
 
-/* Whether T, which is missing, may have lapsed because the list's keeper was in
- * outage, and be back yet.
+/* Returns whether T, which is missing, may have lapsed in an outage of the
+ * table service and may still return.
  *
- * Failure: this process, or the peer that it follows, alone does not reach
- * the keeper, second after second, while the keeper is well and
- * upstreams leave.  Symptom: requests go to them long after.  So such an outage
- * does not count beyond the time for which one that has left still serves, nor
- * does one of any kind that comes after T was missed; what lapsed in an
- * outage is missed when the outage ends. */
+ * Failure: only this process, or the peer that it follows, repeatedly fails to
+ * reach the table service, while the service works and upstreams leave.
+ * Requests are then sent to them long after.  So an outage of that kind does
+ * not count beyond the time for which an upstream that has left still serves.
+ * An outage of either kind that comes after T was found missing does not
+ * count; rows that lapse in an outage are found missing when it ends. */
 static gboolean
 may_have_lapsed (const Update *u, const CcTarget *t)
 {
   const CcTargetsSource *l = u->listed;
-  gint64 outage = MIN (l->outage, t->missed_at);
+  gint64 outage = MIN (l->outage, t->missing_found_at);
 
-  if (l->outage != 0 && t->vanished_at < outage &&
+  if (l->outage != 0 && t->missing_since < outage &&
       u->now - outage < CC_VANISH_GRACE)
     return TRUE;
-  return l->own_outage != 0 && t->vanished_at < l->own_outage &&
-         u->now - t->vanished_at < CC_VANISH_GRACE;
+  return l->own_outage != 0 && t->missing_since < l->own_outage &&
+         u->now - t->missing_since < CC_VANISH_GRACE;
 }
 
-/* Returns TRUE if some upstream of POOL is missing but not yet gone. */
+/* Marks the missing upstreams of POOL as gone unless they may return.  Returns
+ * TRUE if some upstream is missing but not yet gone. */
 static gboolean
-judge_missing (Update *u, GPtrArray *pool)
+evaluate_missing (Update *u, GPtrArray *pool)
 {
   gboolean outage = looks_like_outage (pool, u->now);
-  gboolean open = FALSE;
+  gboolean pending = FALSE;
 
   for (guint i = 0; i < pool->len; i++)
     {
       CcTarget *t = pool->pdata[i];
 
-      if (!t->vanished || t->state == CC_TARGET_GONE)
+      if (!t->missing || t->state == CC_TARGET_GONE)
         continue;
       if (t->state == CC_TARGET_READY &&
-          ((outage && vanished_lately (t, u->now)) || may_have_lapsed (u, t)))
+          ((outage && recently_missing (t, u->now)) || may_have_lapsed (u, t)))
         {
-          open = TRUE;
+          pending = TRUE;
           continue;
         }
       t->version = 0;
-      set_state (t, CC_TARGET_GONE, t->vanished_at);
+      set_state (t, CC_TARGET_GONE, t->missing_since);
       u->changed (t, u->data);
     }
-  return open;
+  return pending;
 }
 
-/* Brings T up to LISTED.  Returns TRUE if it is to be called again soon, for
- * upstreams that are missing and may come back. */
+/* Updates T from LISTED at NOW and calls CHANGED with DATA for each change.
+ * Returns TRUE if it is to be called again soon, for missing upstreams that
+ * may return. */
 gboolean
 cc_targets_update (CcTargets *t, const CcTargetsSource *listed,
                    CcListingDecode decode, gint64 now, CcTargetChanged changed,
@@ -266,51 +272,50 @@
 {
   Update u = { t, listed, decode, now, changed, data };
   g_autoptr (GPtrArray) rows = cc_view_rows (listed->view);
-  gboolean open = FALSE;
+  gboolean pending = FALSE;
   GHashTableIter i;
   gpointer value;
 
   for (guint r = 0; r < rows->len; r++)
-    take_row (&u, rows->pdata[r]);
+    apply_row (&u, rows->pdata[r]);
   g_hash_table_iter_init (&i, t->by_pool);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    open |= judge_missing (&u, value);
-  return open;
+    pending |= evaluate_missing (&u, value);
+  return pending;
 }
 
-/* The upstream ID, or NULL. */
+/* Returns the upstream ID, or NULL. */
 CcTarget *
 cc_targets_find (const CcTargets *t, const char *id)
 {
   return g_hash_table_lookup (t->by_id, id);
 }
 
-/* The upstreams of POOL that were ever listed (CcTarget), or NULL. */
+/* Returns the upstreams of POOL that were ever listed (CcTarget), or NULL. */
 GPtrArray *
 cc_targets_of_pool (const CcTargets *t, const char *pool)
 {
   return g_hash_table_lookup (t->by_pool, pool);
 }
 
-/* Whether requests for keys that T, one of ALL, owns may be sent to it at NOW.
- */
+/* Returns whether T, one of ALL, may be sent requests for its keys at NOW. */
 gboolean
 cc_targets_serves_keys (const CcTargets *all, const CcTarget *t, gint64 now)
 {
   return t->state == CC_TARGET_READY || now - t->since < all->leaving_serves;
 }
 
-/* How long T has been in its state at NOW, at most, us; -1: nothing is known of
- * when that began. */
+/* Returns the longest time for which T can have been in its state at NOW, us;
+ * -1 if the start of that state is unknown. */
 gint64
 cc_target_state_age (const CcTarget *t, gint64 now)
 {
   return t->since == CC_LONG_AGO ? -1 : now - t->since;
 }
 
-/* Whether T, one of ALL, is listed no more and another upstream is listed at
- * its address.  So T has likely ended; but the other's row may be of one that
- * was there before T, written late. */
+/* Returns whether T, one of ALL, is no longer listed and another upstream is
+ * listed at its address.  T has then likely exited, but the row may belong to
+ * an upstream that had the address before T and be written late. */
 gboolean
 cc_targets_is_replaced (const CcTargets *all, const CcTarget *t)
 {
@@ -324,7 +329,7 @@
     {
       const CcTarget *other = value;
 
-      if (other != t && other->state != CC_TARGET_GONE && !other->vanished &&
+      if (other != t && other->state != CC_TARGET_GONE && !other->missing &&
           g_str_equal (other->listing.address, t->listing.address))
         return TRUE;
     }
--- a/targets.h
+++ b/targets.h
@@ -1,4 +1,4 @@
-/* The upstreams that are listed, as one entry sees them. */
+/* The registered upstreams and their states, as one entry knows them. */
 #ifndef CC_TARGETS_H
 #define CC_TARGETS_H
 
@@ -6,68 +6,71 @@
 #include "version_clock.h"
 #include "view.h"
 
-/* An upstream that is missing from the list is taken as gone only this long
- * after the list's keeper last had an outage: entries that lapsed meanwhile
- * are back within two seconds of its return.  Shorter than that, since one that
- * left just then may be sent to for two seconds and no longer. */
+/* Grace period after an outage of the table service, in which an upstream that
+ * is missing from the list does not yet count as gone.  Rows that lapsed in
+ * the outage are back within two seconds of its end.  The period is shorter
+ * than that, since an upstream that left just then may be sent requests for
+ * two seconds and no longer. */
 #define CC_VANISH_GRACE (1750 * CC_MS)
 
-/* Keys are moved only after all that lapsed must be back. */
+/* Grace period before keys are moved: all rows that lapsed are back by then. */
 #define CC_RETURN_GRACE (2500 * CC_MS)
 
 typedef enum
 {
   CC_TARGET_READY,
-  CC_TARGET_LEAVING, /* it has said so */
-  CC_TARGET_GONE     /* it is listed no more */
+  CC_TARGET_LEAVING, /* it announced that it is leaving */
+  CC_TARGET_GONE     /* it is no longer listed */
 } CcTargetState;
 
-/* What an upstream's row in the list says. */
+/* Contents of an upstream's row. */
 typedef struct
 {
   char *id;
   char *pool;
   char *address; /* IP:PORT */
   char *zone;
-  guint64 born; /* of this life of it; differs after a restart */
-  guint slots;  /* requests it works on at once */
+  guint64 born; /* identifies this start of it; differs after a restart */
+  guint slots;  /* requests that it works on at once */
   gboolean leaving;
-  gint64 cold_for; /* it is slow for so long yet, us */
+  gint64 cold_for; /* remaining time of being slow after a start, us */
 } CcListing;
 
 typedef struct
 {
   CcListing listing;
   CcTargetState state;
-  guint64 version;    /* of the row; 0: not listed now */
-  gint64 since;       /* STATE began then at the earliest, us */
-  gboolean vanished;  /* missing from the list */
-  gint64 vanished_at; /* ... since then at the earliest, us */
-  gint64 missed_at;   /* ... and was found to be, us */
+  guint64 version;         /* version of the row; 0: not listed now */
+  gint64 since;            /* earliest time at which STATE began, us */
+  gboolean missing;        /* missing from the list */
+  gint64 missing_since;    /* earliest time at which it went missing, us */
+  gint64 missing_found_at; /* when it was found missing, us */
   CcTargetLoad load;
 } CcTarget;
 
 typedef struct
 {
-  GHashTable *by_id;   /* id to CcTarget, which stays for the process's life */
-  GHashTable *by_pool; /* pool to GPtrArray of CcTarget */
-  gint64 leaving_serves; /* one that leaves is sent requests for its keys for so
-                            long after it said so, us */
+  GHashTable *by_id;     /* id to CcTarget, kept until the process exits */
+  GHashTable *by_pool;   /* pool to GPtrArray of CcTarget */
+  gint64 leaving_serves; /* a leaving upstream gets requests for its keys for
+                            this time after its announcement, us */
 } CcTargets;
 
-/* What an update goes by. */
+/* Input of an update. */
 typedef struct
 {
-  const CcView *view;          /* the list's rows */
+  const CcView *view;          /* the rows of the list */
   const CcVersionClock *clock; /* when they were written */
-  gint64 outage;     /* the list's keeper last failed for all, us; 0: never */
-  gint64 own_outage; /* ... or for this process or one that it follows */
+  gint64 outage; /* when the table service last failed for all processes, us; 0:
+                    never */
+  gint64 own_outage; /* the same for this process or one that it follows, us */
 } CcTargetsSource;
 
-/* Decodes the value of the row KEY.  FALSE: it names no upstream to use. */
+/* Decodes the value of the row KEY.  Returns FALSE if it names no usable
+ * upstream. */
 typedef gboolean (*CcListingDecode) (const char *key, const char *value,
                                      CcListing *l);
-/* Called for each upstream whose state, life or address changed. */
+/* Called for each upstream whose state, start or address changed. */
 typedef void (*CcTargetChanged) (const CcTarget *t, gpointer data);
 
 void cc_listing_clear (CcListing *l);
--- a/test/test_cut_off.c
+++ b/test/test_cut_off.c
@@ -1,4 +1,5 @@
-/* When a dispatcher without a lease has stopped, and what the assigner does. */
+/* Guards against two owners of a key: a dispatcher in a zone that is cut off
+ * has lost its lease but goes on serving when its servers are given away. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,20 +13,20 @@
 {
   gboolean keeps;
   const char *listed;     /* instance in the platform's list, or NULL */
-  const char *registered; /* a dispatcher that stands, or NULL */
-  gboolean stopped;       /* wanted of "i1.a0.1" */
+  const char *registered; /* a registered dispatcher, or NULL */
+  gboolean stopped;       /* expected for "i1.a0.1" */
 } Case;
 
-/* The zone of i1 is cut off; its lease row is gone.  In a pool that keeps, i1
- * serves on, and whoever took its servers would be a second owner. */
+/* The zone of i1 is cut off and its lease row is gone.  In a pool with "keep",
+ * i1 goes on serving, and whoever took its servers would be a second owner. */
 static const Case cases[] = {
   { FALSE, "i1", NULL, TRUE },       /* released with its lease */
-  { TRUE, "i1", NULL, FALSE },       /* maybe only cut off */
-  { TRUE, "i1", "i2.b0.1", FALSE },  /* another instance says nothing */
-  { TRUE, "i11", "i11.a0.1", TRUE }, /* listed is another, i1 is gone */
+  { TRUE, "i1", NULL, FALSE },       /* may only be cut off */
+  { TRUE, "i1", "i2.b0.1", FALSE },  /* another instance is no evidence */
+  { TRUE, "i11", "i11.a0.1", TRUE }, /* another one is listed, i1 is gone */
   { TRUE, "i1", "i11.a0.1", FALSE }, /* a longer name is another instance */
   { TRUE, "i2", NULL, TRUE },        /* gone from the list */
-  { TRUE, NULL, NULL, FALSE },       /* an empty list is not believed */
+  { TRUE, NULL, NULL, FALSE },       /* an empty list is not trusted */
   { TRUE, "i1", "i1.a0.2", TRUE },   /* the same process, a new id */
   { TRUE, "i1", "i1.c0.1", TRUE },   /* another process at its address */
 };
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -1,4 +1,5 @@
-/* What an entry believes of a pool by the reports on its upstreams. */
+/* Guards against upstreams of a large fleet that are overfilled because each
+ * entry has only old reports of them. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -14,18 +15,18 @@
 #define START (10 * CC_SECOND)
 #define UPSTREAMS 20
 
-/* Reports of UPSTREAMS at one moment, then the mean some time later. */
+/* Reports of UPSTREAMS at one time, then the mean some time later. */
 typedef struct
 {
   const char *name;
-  guint idle; /* upstreams that report nothing inside */
-  guint busy; /* ... that report LOAD for each slot */
+  guint idle; /* upstreams that report no requests inside */
+  guint busy; /* upstreams that report LOAD per slot */
   double load;
-  guint repeated; /* times that one of the busy reports again */
+  guint repeated; /* further reports of one of the busy ones */
   guint resets;   /* upstreams that then reset a request */
   gint64 after;   /* us */
-  double least;   /* the mean is from ... */
-  double most;    /* ... to */
+  double least;   /* lower bound of the mean */
+  double most;    /* upper bound of the mean */
 } Case;
 
 static const Case cases[] = {
@@ -33,16 +34,16 @@
   { "all alike", 0, 20, 3, 0, 0, 0, 2.8, 3 },
   { "half of them", 10, 10, 3, 0, 0, 0, 1.4, 1.5 },
   { "few reports", 0, 1, 3, 0, 0, 0, 1.4, 1.5 },
-  /* By the number of reports it would be 3. */
+  /* Weighted by the number of reports the mean would be 3. */
   { "one that reports often", 19, 1, 4, 60, 0, 0, 0.15, 0.25 },
   { "resets while others wait", 0, 10, 3, 0, 10, 0, 2.7, 3 },
   { "resets while others idle", 10, 0, 0, 0, 10, 0, 0, 0 },
-  /* Sixteen halvings of what twenty upstreams said. */
+  /* Sixteen half-lives of the reports of twenty upstreams. */
   { "long ago", 0, 20, 3, 0, 0, 16 * 400 * CC_MS, 0, 0.01 },
 };
 
 static double
-play (const Case *c)
+run_case (const Case *c)
 {
   CcPoolReport reports[UPSTREAMS] = { 0 };
   CcPoolLoad p = { 0 };
@@ -60,22 +61,22 @@
 }
 
 static void
-a_pool_is_believed_to_be_as_its_upstreams_say (void **state)
+the_typical_load_follows_the_reports (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      double mean = play (&cases[i]);
+      double mean = run_case (&cases[i]);
 
       if (mean < cases[i].least || mean > cases[i].most)
         fail_msg ("%s: %.3f", cases[i].name, mean);
     }
 }
 
-/* A fuller report fades more slowly: more is to be served before it is wrong.
- */
+/* A report of a longer queue decays more slowly, since it takes longer to
+ * serve. */
 static void
-a_long_queue_is_believed_in_for_longer (void **state)
+the_report_of_a_long_queue_decays_slowly (void **state)
 {
   CcPoolReport reports[2] = { 0 };
   CcPoolLoad pools[2] = { 0 };
@@ -95,8 +96,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_pool_is_believed_to_be_as_its_upstreams_say),
-    cmocka_unit_test (a_long_queue_is_believed_in_for_longer),
+    cmocka_unit_test (the_typical_load_follows_the_reports),
+    cmocka_unit_test (the_report_of_a_long_queue_decays_slowly),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_targets.c
+++ b/test/test_targets.c
@@ -1,8 +1,5 @@
-/* Which upstreams may be used while their list changes, lies or is away.
- *
- * What callers would see if it failed: everything refused because the list's
- * keeper was down for some seconds, or requests sent to an upstream that left
- * long ago. */
+/* Guards against refusing everything because the table service was down for
+ * some seconds, and against requests sent to an upstream that left long ago. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -19,21 +16,21 @@
 typedef struct
 {
   const char *name;
-  guint missing;      /* upstreams that vanish at 10 s, from the first on */
-  gint64 outage_ms;   /* the keeper last failed so long before; -1: never */
-  guint back;         /* of them are listed again at 11 s */
-  guint usable_at_11; /* upstreams that may be used just then, */
-  guint usable_at_13; /* and later */
+  guint missing;      /* upstreams that go missing at 10 s, from the first on */
+  gint64 outage_ms;   /* last outage before that; -1: never */
+  guint back;         /* of them that are listed again at 11 s */
+  guint usable_at_11; /* usable upstreams at that time */
+  guint usable_at_13; /* usable upstreams at 13 s */
 } Case;
 
 static const Case cases[] = {
-  { "one leaves without a word", 1, -1, 0, 7, 7 },
-  { "one leaves, outage long ago", 1, 5000, 0, 7, 7 },
+  { "one goes missing", 1, -1, 0, 7, 7 },
+  { "one goes missing, outage long ago", 1, 5000, 0, 7, 7 },
   { "one is missing after an outage", 1, 100, 0, 8, 7 },
   { "all lapsed after an outage, all return", 8, 100, 8, 8, 8 },
   { "all lapsed after an outage, one does not return", 8, 100, 7, 8, 7 },
-  { "half vanish at once, nothing known of an outage", 4, -1, 0, 8, 4 },
-  { "two vanish at once", 2, -1, 0, 6, 6 },
+  { "half go missing at once, no known outage", 4, -1, 0, 8, 4 },
+  { "two go missing at once", 2, -1, 0, 6, 6 },
 };
 
 static gboolean
@@ -83,10 +80,11 @@
   return n;
 }
 
-/* Updates T as of NOW; CLOCK tells when the rows were written, NULL: lately. */
+/* Updates T as of NOW; CLOCK gives the times at which rows were written, NULL:
+ * 200 ms before NOW. */
 static void
-update_by (CcTargets *t, CcView *v, const CcVersionClock *clock, gint64 outage,
-           gint64 now)
+update_with_clock (CcTargets *t, CcView *v, const CcVersionClock *clock,
+                   gint64 outage, gint64 now)
 {
   CcVersionClock lately = { .marks = { { 0, now - 200 * CC_MS } }, .count = 1 };
   CcTargetsSource listed = { .view = v,
@@ -99,11 +97,11 @@
 static void
 update (CcTargets *t, CcView *v, gint64 outage, gint64 now)
 {
-  update_by (t, v, NULL, outage, now);
+  update_with_clock (t, v, NULL, outage, now);
 }
 
 static void
-missing_ones_are_used_as_long_as_the_cases_say (void **state)
+missing_upstreams_are_used_for_a_grace_period (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -135,9 +133,10 @@
     }
 }
 
-/* One started again under its id has a load of its own, and is told of. */
+/* An upstream that restarts under its id starts with a new load record and is
+ * reported as a change. */
 static void
-a_new_life_is_a_change (void **state)
+a_restart_is_a_change (void **state)
 {
   CcTargets t;
   CcView v;
@@ -171,33 +170,32 @@
 typedef struct
 {
   const char *name;
-  const char *row;  /* as the upstream left it; NULL: it is gone */
-  gint64 news_ms;   /* when they came, after the row was written */
-  gint64 known_ms;  /* the copy of before was known to be new so long before
-                       the row was written; -1: not known at all */
-  gint64 serves_ms; /* its keys are sent to it so long after the row was
-                       written; 0: not any more when the news came */
+  const char *row;     /* last row of the upstream; NULL: deleted */
+  gint64 update_ms;    /* delay of the update after the row was written */
+  gint64 confirmed_ms; /* age of the last confirmation of the previous copy when
+                          the row was written; -1: never confirmed */
+  gint64 serves_ms;    /* requests for its keys are sent for this time after the
+                          row was written; 0: none after the update */
 } Leaving;
 
 static const Leaving leavings[] = {
-  { "heard of at once", "80 1 1", 0, 0, 1750 },
-  { "heard of at once, the copy's age less sure", "80 1 1", 0, 500, 1250 },
-  { "the one that was followed was lost", "80 1 1", 1569, 400, 0 },
-  { "heard of late", "80 1 1", 1200, 300, 1450 },
-  { "heard of after all that", "80 1 1", 1800, 0, 0 },
-  { "nothing is known of when", "80 1 1", 0, -1, 0 },
+  { "received at once", "80 1 1", 0, 0, 1750 },
+  { "received at once, copy confirmed earlier", "80 1 1", 0, 500, 1250 },
+  { "followed peer lost", "80 1 1", 1569, 400, 0 },
+  { "received late", "80 1 1", 1200, 300, 1450 },
+  { "received after the serving time", "80 1 1", 1800, 0, 0 },
+  { "time unknown", "80 1 1", 0, -1, 0 },
   { "gone at once", NULL, 0, 0, 1750 },
-  { "gone, heard of late", NULL, 1200, 300, 1450 },
-  { "another life that leaves", "80 2 1", 1200, 300, 1450 },
+  { "gone, received late", NULL, 1200, 300, 1450 },
+  { "a restarted one that leaves", "80 2 1", 1200, 300, 1450 },
 };
 
-/* The caller sees a request for a key fail at its owner, which has ended.  The
- * owner said that it leaves; the entry's copy of the list was old then, since
- * the one that it followed was lost, and when it had the news it counted the
- * time for which the owner still serves from that moment on.  It is counted
- * from when the copy was last known to be new. */
+/* Guards against requests sent to an owner that has exited: after the peer
+ * that the entry followed was lost, its copy was old when the owner announced
+ * that it leaves.  The time for which the owner still serves counts from when
+ * the copy was last confirmed, not from the update's arrival. */
 static void
-one_that_leaves_serves_its_keys_for_a_while (void **state)
+a_leaving_upstream_serves_its_keys_for_a_while (void **state)
 {
   gint64 written = 10 * CC_SECOND;
 
@@ -205,7 +203,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (leavings); i++)
     {
       const Leaving *c = &leavings[i];
-      gint64 heard = written + c->news_ms * CC_MS;
+      gint64 received = written + c->update_ms * CC_MS;
       gint64 end = written + c->serves_ms * CC_MS;
       CcVersionClock clock = { 0 };
       CcTargets t;
@@ -218,15 +216,15 @@
       list (&v, 0, "80 1 0");
       update (&t, &v, 0, CC_SECOND);
       one = cc_targets_find (&t, "u0");
-      if (c->known_ms >= 0)
+      if (c->confirmed_ms >= 0)
         cc_version_clock_note (&clock, one->version,
-                               written - c->known_ms * CC_MS);
+                               written - c->confirmed_ms * CC_MS);
       list (&v, 0, c->row);
-      /* The newest answer names the row's version, and says nothing of it. */
-      cc_version_clock_note (&clock, one->version + 1, heard);
-      update_by (&t, &v, &clock, 0, heard);
+      /* The newest response names the row's version without dating it. */
+      cc_version_clock_note (&clock, one->version + 1, received);
+      update_with_clock (&t, &v, &clock, 0, received);
       if ((c->serves_ms > 0 && !cc_targets_serves_keys (&t, one, end - 1)) ||
-          cc_targets_serves_keys (&t, one, MAX (end, heard)))
+          cc_targets_serves_keys (&t, one, MAX (end, received)))
         fail_msg ("%s: since %" G_GINT64_FORMAT " ms", c->name,
                   (one->since - written) / CC_MS);
       cc_view_clear (&v);
@@ -234,10 +232,10 @@
     }
 }
 
-/* Some vanish at once, the list's keeper is doubted and they are used on; then
- * they are gone.  The time for which they serve has passed meanwhile. */
+/* Some go missing at once, which is taken as an outage, and are used until
+ * they count as gone.  The time for which they serve has passed meanwhile. */
 static void
-doubt_is_part_of_the_time_for_which_one_serves (void **state)
+the_grace_period_is_part_of_the_serving_time (void **state)
 {
   gint64 at = 10 * CC_SECOND;
   CcTargets t;
@@ -262,10 +260,10 @@
   cc_targets_clear (&t);
 }
 
-/* Guards against an upstream that is sent to for seconds after it vanished,
- * since others of its pool vanish together later. */
+/* Guards against requests sent for seconds to a missing upstream because
+ * others of its pool go missing later. */
 static void
-a_later_outage_does_not_bring_one_back (void **state)
+a_later_outage_does_not_extend_the_grace_period (void **state)
 {
   gint64 missed = 10 * CC_SECOND, later = missed + CC_SECOND;
   CcTargets t;
@@ -294,11 +292,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (missing_ones_are_used_as_long_as_the_cases_say),
-    cmocka_unit_test (a_new_life_is_a_change),
-    cmocka_unit_test (one_that_leaves_serves_its_keys_for_a_while),
-    cmocka_unit_test (doubt_is_part_of_the_time_for_which_one_serves),
-    cmocka_unit_test (a_later_outage_does_not_bring_one_back),
+    cmocka_unit_test (missing_upstreams_are_used_for_a_grace_period),
+    cmocka_unit_test (a_restart_is_a_change),
+    cmocka_unit_test (a_leaving_upstream_serves_its_keys_for_a_while),
+    cmocka_unit_test (the_grace_period_is_part_of_the_serving_time),
+    cmocka_unit_test (a_later_outage_does_not_extend_the_grace_period),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_work_rates.c
+++ b/test/test_work_rates.c
@@ -1,9 +1,6 @@
-/* How fast the granter believes owners of keys to be.
- *
- * What callers would see if it failed: requests for the keys of slow owners
- * refused or late while fast owners idle, all day long.  The owners of a pool
- * have lasting speeds; a dozen entries each see a few answers of each, of which
- * the times vary by about their mean. */
+/* Guards against requests for the keys of slow owners that are refused or late
+ * while fast owners idle.  Owners have constant speeds; twelve entries each
+ * see a few responses of each, whose times deviate by about their mean. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -24,14 +21,15 @@
 typedef struct
 {
   const char *name;
-  double speeds[3];  /* taken by turns */
-  double rate;       /* answers a second of each owner */
-  gint64 after;      /* s; how long the reports come */
-  double error_most; /* mean of what the belief is off, as a part */
+  double speeds[3];  /* assigned to the owners in turn */
+  double rate;       /* responses per second of each owner */
+  gint64 after;      /* s; duration of the reports */
+  double error_most; /* largest mean relative error of the estimates */
 } Case;
 
 static const Case cases[] = {
-  /* Chance alone: 200 answers of all give a mean that is off by a twelfth. */
+  /* By chance alone, 200 responses in all give a mean with an error of a
+   * twelfth. */
   { "all alike, after 2 s", { 1, 1, 1 }, 8, 2, 0.2 },
   { "unlike, after 5 s", { 0.6, 1, 1.4 }, 8, 5, 0.2 },
   { "unlike, after 15 s", { 0.6, 1, 1.4 }, 8, 15, 0.13 },
@@ -97,10 +95,10 @@
     }
 }
 
-/* An upstream that nobody has heard of is like its pool, and a pool that nobody
- * has heard of is like any. */
+/* An upstream without reports is estimated like its pool, and a pool without
+ * reports by the default. */
 static void
-the_unknown_is_like_the_rest (void **state)
+the_estimate_without_reports_is_the_pools (void **state)
 {
   CcWorkRates r;
 
@@ -109,7 +107,7 @@
   assert_true (cc_work_rates_of (&r, "p", "u", 0) > 0);
   cc_work_rates_add (&r, "p", "u0", 10 * WORK, 10, CC_SECOND);
   assert_true (fabs (cc_work_rates_of (&r, "p", "u1", CC_SECOND) - WORK) < 1);
-  /* An old answer counts for little. */
+  /* An old response counts for little. */
   cc_work_rates_add (&r, "p", "u2", 10 * WORK, 2, CC_SECOND);
   assert_true (cc_work_rates_of (&r, "p", "u2", CC_SECOND) >
                1.05 * cc_work_rates_of (&r, "p", "u2", 60 * CC_SECOND));
@@ -121,7 +119,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (lasting_speeds_are_known_within_seconds),
-    cmocka_unit_test (the_unknown_is_like_the_rest),
+    cmocka_unit_test (the_estimate_without_reports_is_the_pools),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/work_rates.c
+++ b/work_rates.c
@@ -1,34 +1,35 @@
-/* Load pattern: upstreams of a pool differ in speed by a factor of two and
- * more, for good.  With keys divided as if they were alike, the slow ones are
- * asked for more than they can serve while the fast ones idle, and each entry
- * alone sees too few answers of one to tell.
+/* Load pattern: upstreams of a pool differ permanently in speed, by a factor
+ * of two and more.  With keys divided as if all were equally fast, the slow
+ * ones are overloaded while the fast ones idle, and each entry alone receives
+ * too few responses of one upstream to measure its speed.
  *
- * Each entry reports how much work it saw since its last report, and how many
- * answers that was; the sums of all entries are kept and fade.  An upstream's
- * mean is shrunk towards its pool's by how few answers show it. */
+ * Each entry reports the work that it observed since its last report, and the
+ * number of responses; the sums over all entries are kept and decay.  An
+ * upstream's mean is shrunk towards its pool's mean, the more the fewer
+ * responses there are. */
 #include "work_rates.h"
 
 #include <math.h>
 
-/* Answers fade by half in this time: at ten a second some hundred and fifty
- * stand behind a mean, which is then off by a twelfth, and an upstream that
- * turns slow is known for it within seconds. */
-#define FADE_TIME (10 * CC_SECOND)
-/* Answers that outweigh half of the belief that an upstream is like its pool:
- * the variance of times, about the square of their mean, by that of speeds, of
- * which two thirds lie within two fifths of the mean. */
-#define PRIOR 6.0
-/* Time for a request of which nothing is known, us. */
-#define UNKNOWN 200000.0
+/* Half-life of responses: at ten per second, some hundred and fifty are in a
+ * mean, whose error is then a twelfth, and an upstream that becomes slow is
+ * recognised within seconds. */
+#define ANSWERS_HALF_LIFE (10 * CC_SECOND)
+/* Prior weight, in responses, of the pool's mean: the variance of work times,
+ * about the square of their mean, divided by the variance of speeds, two
+ * thirds of which lie within two fifths of the mean. */
+#define PRIOR_ANSWERS 6.0
+/* Work time of a request without any measurement, us. */
+#define DEFAULT_WORK_TIME 200000.0
 
 typedef struct
 {
-  double work;    /* us, faded */
-  double answers; /* faded */
-  gint64 at;      /* us */
+  double work;    /* decayed sum, us */
+  double answers; /* decayed number */
+  gint64 at;      /* last update, us */
 } Sum;
 
-/* Nothing is known. */
+/* Initialises R without any measurement. */
 void
 cc_work_rates_init (CcWorkRates *r)
 {
@@ -37,7 +38,7 @@
   r->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Frees what R holds. */
+/* Frees the memory of R. */
 void
 cc_work_rates_clear (CcWorkRates *r)
 {
@@ -46,13 +47,14 @@
 }
 
 static double
-kept (const Sum *s, gint64 now)
+decay_factor (const Sum *s, gint64 now)
 {
-  return exp2 (-(double) MAX (now - s->at, 0) / FADE_TIME);
+  return exp2 (-(double) MAX (now - s->at, 0) / ANSWERS_HALF_LIFE);
 }
 
 static void
-add (GHashTable *sums, const char *name, double work, guint answers, gint64 now)
+add_to_sum (GHashTable *sums, const char *name, double work, guint answers,
+            gint64 now)
 {
   Sum *s = g_hash_table_lookup (sums, name);
   double part;
@@ -62,34 +64,36 @@
       s = g_new0 (Sum, 1);
       g_hash_table_insert (sums, g_strdup (name), s);
     }
-  part = kept (s, now);
+  part = decay_factor (s, now);
   s->work = part * s->work + work;
   s->answers = part * s->answers + answers;
   s->at = now;
 }
 
-/* An entry saw UPSTREAM of POOL work WORK us for ANSWERS answers. */
+/* Adds the report of an entry: UPSTREAM of POOL worked WORK us on ANSWERS
+ * responses. */
 void
 cc_work_rates_add (CcWorkRates *r, const char *pool, const char *upstream,
                    double work, guint answers, gint64 now)
 {
   if (answers == 0)
     return;
-  add (r->upstreams, upstream, work, answers, now);
-  add (r->pools, pool, work, answers, now);
+  add_to_sum (r->upstreams, upstream, work, answers, now);
+  add_to_sum (r->pools, pool, work, answers, now);
 }
 
-/* How long UPSTREAM of POOL is believed to work on a request, us. */
+/* Returns the estimated work time of a request at UPSTREAM of POOL, us. */
 double
 cc_work_rates_of (const CcWorkRates *r, const char *pool, const char *upstream,
                   gint64 now)
 {
   const Sum *all = g_hash_table_lookup (r->pools, pool);
   const Sum *one = g_hash_table_lookup (r->upstreams, upstream);
-  double mean = all != NULL ? all->work / all->answers : UNKNOWN;
-  double part = one != NULL ? kept (one, now) : 0.0;
+  double mean = all != NULL ? all->work / all->answers : DEFAULT_WORK_TIME;
+  double part = one != NULL ? decay_factor (one, now) : 0.0;
 
   if (one == NULL)
     return mean;
-  return (PRIOR * mean + part * one->work) / (PRIOR + part * one->answers);
+  return (PRIOR_ANSWERS * mean + part * one->work) /
+         (PRIOR_ANSWERS + part * one->answers);
 }
--- a/work_rates.h
+++ b/work_rates.h
@@ -1,4 +1,4 @@
-/* How long upstreams work on a request, from the reports of all entries. */
+/* Mean work time of each upstream, from the reports of all entries. */
 #ifndef CC_WORK_RATES_H
 #define CC_WORK_RATES_H
 
@@ -6,8 +6,8 @@
 
 typedef struct
 {
-  GHashTable *upstreams; /* id to its sum of work */
-  GHashTable *pools;     /* name to that of all its upstreams */
+  GHashTable *upstreams; /* upstream id to its sum of work */
+  GHashTable *pools;     /* pool name to the sum over its upstreams */
 } CcWorkRates;
 
 void cc_work_rates_init (CcWorkRates *r);
