--- a/test/test_overload.c
+++ b/test/test_overload.c
@@ -1,13 +1,11 @@
-/* A burst of more than a pool can serve, before few and before many entries.
- * Each entry sees its own requests and the words of its own answers only, so
- * the more there are, the less and the later each knows of one upstream.
+/* Guards against a burst that a large fleet serves worse than a small one,
+ * since each entry receives fewer and older reports of one upstream.
  *
- * The pool grows with the fleet.  Its upstreams differ in speed, hold a bounded
- * queue that nobody tells, and reset what they have no room for.  A connection
- * that is opened to one waits for a slot there like a request, and the request
- * on it is queued only then.  A refused caller comes back once, when it was
- * told to; one that was failed comes back at once if its work may be repeated.
- */
+ * The pool grows with the fleet.  Its upstreams differ in speed, have a
+ * bounded queue of unknown length, and reset requests beyond it.  A new
+ * connection waits for a slot like a request, and its request is queued only
+ * then.  A refused caller returns once, at the time it was told; one whose
+ * request failed returns at once if its work may be repeated. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -29,14 +27,14 @@
 #define TICK (5 * CC_MS)
 #define SLOTS 2
 #define QUEUE 8
-#define WORK (220.0 * CC_MS)     /* in the mean, at an upstream of speed 1 */
-#define SPREAD 0.7               /* of its logarithm */
-#define GREETING (1 * CC_MS)     /* in a slot, of a new connection */
-#define IDLE_MAX (8 * CC_SECOND) /* a connection is kept for so long */
+#define WORK (220.0 * CC_MS)     /* mean work time at an upstream of speed 1 */
+#define SPREAD 0.7               /* deviation of its logarithm */
+#define ACCEPT_TIME (1 * CC_MS)  /* in a slot, per new connection */
+#define IDLE_MAX (8 * CC_SECOND) /* a connection is kept this long */
 #define TARGET (700 * CC_MS)     /* an answer is in time until then */
-#define TIMEOUT (1500 * CC_MS)   /* an entry waits no longer */
+#define TIMEOUT (1500 * CC_MS)   /* longest time that an entry waits */
 #define DEADLINE (3000 * CC_MS)  /* of the caller */
-#define CALM 0.65                /* of the capacity is asked for */
+#define BASE_LOAD 0.65 /* load before the burst, as a part of the capacity */
 #define BURST_FROM (5 * CC_SECOND)
 #define BURST_TO (11 * CC_SECOND)
 #define END (15 * CC_SECOND)
@@ -47,43 +45,43 @@
 typedef struct
 {
   guint entries;
-  gboolean keyed; /* each key has one upstream */
-  double burst;   /* times the calm load */
+  gboolean keyed; /* each request goes to the owner of its key */
+  double burst;   /* load in the burst, as a multiple of that before */
 } Case;
 
 typedef struct
 {
   CcBacklogEntry place;
-  gint64 asked;    /* when its caller first asked, us */
-  gint64 due;      /* when it asks (again), us */
-  gint64 sent;     /* us */
-  gint64 ends;     /* in a slot, us; 0: it waits */
-  gint64 limit;    /* nobody waits for it after that, us */
-  gint64 began;    /* at its entry, us */
-  gboolean once;   /* its work may not be repeated */
-  gboolean greets; /* its connection is not taken yet */
-  double share;    /* of its time that is work, by the entry's estimate */
+  gint64 arrived;      /* first request of its caller, us */
+  gint64 due;          /* time of the next request, us */
+  gint64 sent;         /* us */
+  gint64 ends;         /* end of its work in a slot, us; 0: waiting */
+  gint64 limit;        /* abandoned at that time, us */
+  gint64 began;        /* arrival at its entry, us */
+  gboolean once;       /* its work must not be repeated */
+  gboolean connecting; /* its connection has not been accepted yet */
+  double share;        /* estimated part of its time that is work */
   guint entry;
-  guint owner; /* the upstream of its key */
-  guint at;    /* the upstream that it is at */
-  guint asks;  /* of its caller */
-  guint tries; /* of its entry */
+  guint owner;           /* upstream that owns its key */
+  guint upstream;        /* upstream that it was sent to */
+  guint caller_requests; /* requests made by its caller */
+  guint tries;           /* attempts made by its entry */
 } Request;
 
 typedef struct
 {
   CcTargets targets;
-  CcTarget *seen; /* the upstreams, as this entry sees them */
+  CcTarget *upstreams; /* this entry's records of the upstreams */
   CcWorkTimes times;
   CcPoolLoad load;
   CcBacklog backlog;
   CcRetryBudget budget;
-  GQueue *idle; /* times from which connections to each upstream are idle */
+  GQueue *idle; /* for each upstream, times at which connections became idle */
 } Entry;
 
 typedef struct
 {
-  guint asked;
+  guint requests;
   guint in_time;
   guint late;
   guint refused;
@@ -96,8 +94,8 @@
   GRand *rand;
   guint upstreams;
   Entry *entries;
-  GPtrArray **inside; /* of Request, in order, by upstream */
-  GPtrArray *coming;  /* of Request, that ask later */
+  GPtrArray **inside; /* of Request, in order of arrival, by upstream */
+  GPtrArray *pending; /* of Request, to be sent later */
   Result result;
 } World;
 
@@ -123,7 +121,7 @@
                    exp (SPREAD * normal (w->rand) - SPREAD * SPREAD / 2.0));
 }
 
-/* Keys are spread by what their owners can serve. */
+/* Draws the owner of a key; keys are distributed by the speed of the owners. */
 static guint
 draw_owner (World *w)
 {
@@ -166,13 +164,13 @@
     {
       const Request *r = inside->pdata[i];
 
-      n += !r->greets && (r->ends != 0) == running;
+      n += !r->connecting && (r->ends != 0) == running;
     }
   return n;
 }
 
 static void
-note_end (World *w, const Request *r, CcPickEnd end, gint64 now)
+record_end (World *w, const Request *r, CcPickEnd end, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
   CcPickResult result = { .end = end,
@@ -181,61 +179,61 @@
                           .typical = typical_of (e, now).kind };
 
   if (end == CC_PICK_ANSWERED)
-    result.report =
-        (CcLoadReport){ TRUE, count (w, r->at, TRUE), count (w, r->at, FALSE) };
-  cc_pick_ended (&e->seen[r->at].load, &result, now);
+    result.report = (CcLoadReport){ TRUE, count (w, r->upstream, TRUE),
+                                    count (w, r->upstream, FALSE) };
+  cc_pick_ended (&e->upstreams[r->upstream].load, &result, now);
   if (result.report.said)
-    cc_pool_load_add (&e->load, &e->seen[r->at].load.in_pool,
+    cc_pool_load_add (&e->load, &e->upstreams[r->upstream].load.in_pool,
                       (double) (result.report.running + result.report.waiting) /
                           SLOTS,
                       typical_of (e, now).any, now);
   else if (end != CC_PICK_ABANDONED)
-    cc_pool_load_add_reset (&e->load, &e->seen[r->at].load.in_pool,
+    cc_pool_load_add_reset (&e->load, &e->upstreams[r->upstream].load.in_pool,
                             typical_of (e, now).any, now);
   cc_backlog_ended (&e->backlog, now);
 }
 
 static gboolean
-counts (const Request *r)
+is_counted (const Request *r)
 {
-  return r->asked >= BURST_FROM && r->asked < BURST_TO;
+  return r->arrived >= BURST_FROM && r->arrived < BURST_TO;
 }
 
-/* Its caller is done with R. */
+/* Ends R and counts it in WHAT. */
 static void
 finish (World *w, Request *r, guint *what)
 {
-  if (counts (r))
+  if (is_counted (r))
     ++*what;
   cc_backlog_remove (&w->entries[r->entry].backlog, &r->place);
   g_free (r);
 }
 
 static void
-come_back (World *w, Request *r, gint64 at)
+schedule_return (World *w, Request *r, gint64 at)
 {
   r->due = at;
   r->tries = 0;
-  g_ptr_array_add (w->coming, r);
+  g_ptr_array_add (w->pending, r);
 }
 
 static void
 refuse (World *w, Request *r, gint64 wait, gint64 now)
 {
-  gint64 left = r->asked + DEADLINE - now;
+  gint64 left = r->arrived + DEADLINE - now;
   gint64 after = cc_backlog_retry_after (wait, left, g_rand_double (w->rand));
 
   cc_backlog_remove (&w->entries[r->entry].backlog, &r->place);
-  if (r->asks > 1 || after > left / 3)
+  if (r->caller_requests > 1 || after > left / 3)
     finish (w, r, &w->result.refused);
   else
-    come_back (w, r, now + after);
+    schedule_return (w, r, now + after);
 }
 
-/* Its upstream has reset R, or did not answer it, and nobody knows whether it
- * ran. */
+/* Handles an R whose upstream reset it or did not answer, so it is unknown
+ * whether it ran. */
 static void
-lose (World *w, Request *r, gint64 now)
+handle_loss (World *w, Request *r, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
 
@@ -243,37 +241,38 @@
       cc_retry_budget_take (&e->budget, &bound, w->c->entries, now))
     {
       r->due = now;
-      g_ptr_array_add (w->coming, r);
+      g_ptr_array_add (w->pending, r);
     }
-  else if (!r->once && r->asks == 1 && now < r->asked + DEADLINE)
-    come_back (w, r, now);
+  else if (!r->once && r->caller_requests == 1 && now < r->arrived + DEADLINE)
+    schedule_return (w, r, now);
   else
     finish (w, r, &w->result.failed);
 }
 
-/* The request R, whose connection stands, asks for a place in its upstream. */
+/* Queues R, whose connection is open, at its upstream.  Returns FALSE if the
+ * upstream resets it. */
 static gboolean
-take_in (World *w, Request *r, gint64 now)
+enqueue (World *w, Request *r, gint64 now)
 {
-  if (count (w, r->at, FALSE) < QUEUE)
+  if (count (w, r->upstream, FALSE) < QUEUE)
     {
-      r->greets = FALSE;
+      r->connecting = FALSE;
       r->ends = 0;
-      g_ptr_array_add (w->inside[r->at], r);
+      g_ptr_array_add (w->inside[r->upstream], r);
       return TRUE;
     }
-  note_end (w, r,
-            (double) (now - r->sent) <
-                    0.25 * typical_of (&w->entries[r->entry], now).kind
-                ? CC_PICK_REJECTED
-                : CC_PICK_FAILED,
-            now);
-  lose (w, r, now);
+  record_end (w, r,
+              (double) (now - r->sent) <
+                      0.25 * typical_of (&w->entries[r->entry], now).kind
+                  ? CC_PICK_REJECTED
+                  : CC_PICK_FAILED,
+              now);
+  handle_loss (w, r, now);
   return FALSE;
 }
 
 static gboolean
-take_connection (Entry *e, guint upstream, gint64 now)
+reuse_connection (Entry *e, guint upstream, gint64 now)
 {
   GQueue *idle = &e->idle[upstream];
   gint64 *since = g_queue_pop_tail (idle);
@@ -296,28 +295,27 @@
 send_to (World *w, Request *r, guint upstream, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
-  CcTargetLoad *l = &e->seen[upstream].load;
+  CcTargetLoad *l = &e->upstreams[upstream].load;
   CcTypicalWork typical = typical_of (e, now);
 
   cc_backlog_remove (&e->backlog, &r->place);
-  r->at = upstream;
+  r->upstream = upstream;
   r->sent = now;
   r->tries++;
   r->share = cc_pick_sent (l, &typical,
                            w->c->keyed ? cc_pick_owner_inside (l, &typical, now)
                                        : cc_pick_inside (l, &typical, now));
-  r->greets = !take_connection (e, upstream, now);
+  r->connecting = !reuse_connection (e, upstream, now);
   r->ends = 0;
-  if (r->greets)
+  if (r->connecting)
     g_ptr_array_add (w->inside[upstream], r);
   else
-    take_in (w, r, now);
+    enqueue (w, r, now);
 }
 
-/* R waits at its entry for an upstream with room.  Returns FALSE if it still
- * does. */
+/* Sends R to an upstream with capacity.  Returns FALSE if there is none. */
 static gboolean
-try_any (World *w, Request *r, gint64 now)
+try_send (World *w, Request *r, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
@@ -325,21 +323,21 @@
   CcChosen chosen;
 
   if (r->tries > 0)
-    g_ptr_array_add (tried, &e->seen[r->at]);
+    g_ptr_array_add (tried, &e->upstreams[r->upstream]);
   c = choice_of (e, tried, now);
   chosen = cc_choose_any (&c, now);
   if (chosen.target == NULL)
     return FALSE;
-  send_to (w, r, (guint) (chosen.target - e->seen), now);
+  send_to (w, r, (guint) (chosen.target - e->upstreams), now);
   return TRUE;
 }
 
 static void
-ask_keyed (World *w, Request *r, gint64 now)
+send_to_owner (World *w, Request *r, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
   CcChoice c = choice_of (e, NULL, now);
-  CcTarget *owner = &e->seen[r->owner];
+  CcTarget *owner = &e->upstreams[r->owner];
 
   if (cc_choose_has_capacity (&c, owner, now))
     send_to (w, r, r->owner, now);
@@ -348,14 +346,14 @@
 }
 
 static void
-ask_any (World *w, Request *r, gint64 now)
+send_to_any (World *w, Request *r, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
   gint64 wait = cc_backlog_wait (&e->backlog, 0, now);
   gboolean admitted = cc_backlog_admits (
       wait, (gint64) typical_of (e, now).kind, TARGET, TIMEOUT);
 
-  if (try_any (w, r, now))
+  if (try_send (w, r, now))
     return;
   if (!admitted)
     {
@@ -367,38 +365,38 @@
 }
 
 static void
-ask (World *w, Request *r, gint64 now)
+send_request (World *w, Request *r, gint64 now)
 {
   if (r->tries == 0)
     {
       r->entry = (guint) g_rand_int_range (w->rand, 0, (gint32) w->c->entries);
-      r->asks++;
+      r->caller_requests++;
       r->began = now;
-      r->limit = MIN (now + TIMEOUT, r->asked + DEADLINE);
+      r->limit = MIN (now + TIMEOUT, r->arrived + DEADLINE);
       cc_retry_budget_earn (&w->entries[r->entry].budget, &bound);
     }
   if (w->c->keyed)
-    ask_keyed (w, r, now);
+    send_to_owner (w, r, now);
   else
-    ask_any (w, r, now);
+    send_to_any (w, r, now);
 }
 
 static void
 end_work (World *w, Request *r, gint64 now)
 {
   Entry *e = &w->entries[r->entry];
-  gboolean in_time = now - r->asked <= TARGET;
+  gboolean in_time = now - r->arrived <= TARGET;
 
-  note_end (w, r, CC_PICK_ANSWERED, now);
+  record_end (w, r, CC_PICK_ANSWERED, now);
   cc_work_times_add (&e->times, KIND, (double) (now - r->sent) * r->share);
-  keep_connection (e, r->at, now);
+  keep_connection (e, r->upstream, now);
   finish (w, r, in_time ? &w->result.in_time : &w->result.late);
 }
 
 static void
 give_up (World *w, Request *r, gint64 now)
 {
-  note_end (w, r, CC_PICK_ABANDONED, now);
+  record_end (w, r, CC_PICK_ABANDONED, now);
   finish (w, r, &w->result.failed);
 }
 
@@ -417,8 +415,8 @@
       g_ptr_array_remove_index (inside, i--);
       if (!done)
         give_up (w, r, now);
-      else if (r->greets)
-        take_in (w, r, now);
+      else if (r->connecting)
+        enqueue (w, r, now);
       else
         end_work (w, r, now);
     }
@@ -427,7 +425,7 @@
       Request *r = inside->pdata[i];
 
       if (r->ends == 0)
-        r->ends = now + (r->greets ? GREETING : draw_work (w, u));
+        r->ends = now + (r->connecting ? ACCEPT_TIME : draw_work (w, u));
     }
 }
 
@@ -443,7 +441,7 @@
       i = g_sequence_iter_next (i);
       if (now >= r->limit)
         finish (w, r, &w->result.refused);
-      else if (!try_any (w, r, now))
+      else if (!try_send (w, r, now))
         return;
     }
 }
@@ -451,7 +449,7 @@
 static void
 arrive (World *w, gint64 now)
 {
-  double rate = CALM * w->upstreams * SLOTS / WORK;
+  double rate = BASE_LOAD * w->upstreams * SLOTS / WORK;
   double expected;
 
   if (now >= BURST_FROM && now < BURST_TO)
@@ -461,20 +459,20 @@
       {
         Request *r = g_new0 (Request, 1);
 
-        r->asked = r->due = now;
+        r->arrived = r->due = now;
         r->owner = draw_owner (w);
         r->once = g_rand_boolean (w->rand);
-        w->result.asked += counts (r);
-        g_ptr_array_add (w->coming, r);
+        w->result.requests += is_counted (r);
+        g_ptr_array_add (w->pending, r);
       }
-  for (guint i = 0; i < w->coming->len; i++)
+  for (guint i = 0; i < w->pending->len; i++)
     {
-      Request *r = w->coming->pdata[i];
+      Request *r = w->pending->pdata[i];
 
       if (r->due > now)
         continue;
-      g_ptr_array_remove_index_fast (w->coming, i--);
-      ask (w, r, now);
+      g_ptr_array_remove_index_fast (w->pending, i--);
+      send_request (w, r, now);
     }
 }
 
@@ -483,7 +481,7 @@
 {
   GPtrArray *all = g_ptr_array_new ();
 
-  e->seen = g_new0 (CcTarget, upstreams);
+  e->upstreams = g_new0 (CcTarget, upstreams);
   e->idle = g_new0 (GQueue, upstreams);
   cc_targets_init (&e->targets);
   cc_backlog_init (&e->backlog);
@@ -491,8 +489,8 @@
   cc_work_times_add (&e->times, KIND, WORK);
   for (guint u = 0; u < upstreams; u++)
     {
-      e->seen[u] = (CcTarget){ .load.slots = SLOTS, .listing.zone = "a" };
-      g_ptr_array_add (all, &e->seen[u]);
+      e->upstreams[u] = (CcTarget){ .load.slots = SLOTS, .listing.zone = "a" };
+      g_ptr_array_add (all, &e->upstreams[u]);
     }
   g_hash_table_insert (e->targets.by_pool, g_strdup ("p"), all);
 }
@@ -506,7 +504,7 @@
   cc_backlog_clear (&e->backlog);
   cc_work_times_clear (&e->times);
   cc_targets_clear (&e->targets);
-  g_free (e->seen);
+  g_free (e->upstreams);
 }
 
 static void
@@ -517,7 +515,7 @@
                 .upstreams = MAX (c->entries, G_N_ELEMENTS (speeds)) };
   w->entries = g_new0 (Entry, c->entries);
   w->inside = g_new0 (GPtrArray *, w->upstreams);
-  w->coming = g_ptr_array_new_with_free_func (NULL);
+  w->pending = g_ptr_array_new_with_free_func (NULL);
   for (guint e = 0; e < c->entries; e++)
     entry_init (&w->entries[e], w->upstreams);
   for (guint u = 0; u < w->upstreams; u++)
@@ -545,14 +543,14 @@
     }
   for (guint u = 0; u < w->upstreams; u++)
     free_all (w->inside[u]);
-  free_all (w->coming);
+  free_all (w->pending);
   g_free (w->inside);
   g_free (w->entries);
   g_rand_free (w->rand);
 }
 
 static void
-play (const Case *c, guint seed, Result *sum)
+simulate (const Case *c, guint seed, Result *sum)
 {
   World w;
 
@@ -567,48 +565,48 @@
       arrive (&w, now);
     }
   world_clear (&w);
-  sum->asked += w.result.asked;
+  sum->requests += w.result.requests;
   sum->in_time += w.result.in_time;
   sum->late += w.result.late;
   sum->refused += w.result.refused;
   sum->failed += w.result.failed;
 }
 
-/* What a case comes to, as shares of what was asked. */
+/* Result of a case, as shares of the requests. */
 typedef struct
 {
-  double in_time; /* ... of the most that the upstreams can serve */
+  double in_time; /* of the most that can be served */
   double failed;
 } Shares;
 
 static Shares
-play_all (const Case *c)
+simulate_all (const Case *c)
 {
-  double best = MIN (1.0, 1.0 / (CALM * c->burst));
+  double best = MIN (1.0, 1.0 / (BASE_LOAD * c->burst));
   double all;
   Result r = { 0 };
   Shares s;
 
   for (guint seed = 1; seed <= SEEDS; seed++)
-    play (c, seed, &r);
-  all = r.asked;
+    simulate (c, seed, &r);
+  all = r.requests;
   s = (Shares){ r.in_time / all / best, r.failed / all };
   if (g_getenv ("PRINT") != NULL)
     print_message ("%u entries, %s, %.1f times: in time %.3f, of the best "
                    "%.3f, late %.3f, refused %.3f, failed %.3f of %u\n",
                    c->entries, c->keyed ? "keyed" : "any", c->burst,
                    r.in_time / all, s.in_time, r.late / all, r.refused / all,
-                   s.failed, r.asked);
+                   s.failed, r.requests);
   return s;
 }
 
-/* A large fleet may not serve less in time than a small one, nor may more fail.
- */
+/* A large fleet must not serve less in time than a small one, and no more of
+ * its requests may fail. */
 static void
 compare_fleets (gboolean keyed, double burst)
 {
-  Shares few = play_all (&(Case){ 12, keyed, burst });
-  Shares many = play_all (&(Case){ 80, keyed, burst });
+  Shares few = simulate_all (&(Case){ 12, keyed, burst });
+  Shares many = simulate_all (&(Case){ 80, keyed, burst });
 
   if (many.in_time < few.in_time || many.failed > few.failed)
     fail_msg ("%s, %.1f times: in time %.3f and failed %.3f before 80 "
@@ -617,8 +615,9 @@
               few.in_time, few.failed);
 }
 
-/* Guards against a large fleet of which no entry sees enough of one upstream to
- * notice that it is full: all go on sending, and a third of it is reset. */
+/* Guards against a large fleet none of whose entries has enough reports of one
+ * upstream to notice that it is full: all go on sending, and a third of the
+ * requests is reset. */
 static void
 a_burst_is_served_as_well_before_many_entries (void **state)
 {
@@ -627,7 +626,7 @@
   compare_fleets (FALSE, 2.6);
 }
 
-/* The same beside a load that the upstreams could nearly bear. */
+/* The same for a load that is little more than the upstreams can serve. */
 static void
 a_small_burst_is_served_as_well_before_many_entries (void **state)
 {
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -1,9 +1,6 @@
-/* Requests for the keys of one owner, from a dozen entries that each see only
- * their own and the owner's reports, under the loads that choose.c and pick.c
- * are for, judged by what callers receive.  The owner has slots, a queue of a
- * length that nobody tells, and a speed of its own; it resets what it has no
- * room for and stops work at the deadline.  A refused caller comes back once,
- * when it was told to. */
+/* Guards against requests refused while their key's owner idles, and against
+ * requests sent to an owner that is full.  Twelve entries know only their own
+ * requests and the owner's reports; the owner's speed and queue are unknown. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -22,44 +19,46 @@
 #define ENTRIES 12
 #define SEEDS 40
 #define TICK (5 * CC_MS)
-#define WORK (220.0 * CC_MS)    /* in the mean, at an owner of speed 1 */
-#define SPREAD 0.7              /* of its logarithm */
+#define WORK (220.0 * CC_MS)    /* mean work time at an owner of speed 1 */
+#define SPREAD 0.7              /* deviation of its logarithm */
 #define TARGET (600 * CC_MS)    /* an answer is in time until then */
-#define TIMEOUT (1200 * CC_MS)  /* nobody waits longer */
+#define TIMEOUT (1200 * CC_MS)  /* longest time that an entry waits */
 #define DEADLINE (2500 * CC_MS) /* of the caller */
 #define SPAN_MAX 30             /* s */
 
-/* One load: the part of an owner of speed 1 and two slots that is asked for, in
- * each of up to three stretches of time. */
+/* One load, as a part of the capacity of an owner of speed 1 with two slots,
+ * in each of up to three periods.  The owner resets requests that exceed its
+ * slots and queue, and stops work at the deadline.  A refused caller returns
+ * once, at the time it was told. */
 typedef struct
 {
   const char *name;
   guint slots;
-  guint queue;  /* requests that the owner holds beyond its slots */
-  double speed; /* of the owner; others of its pool have 1 */
+  guint queue;  /* requests that the owner queues beyond its slots */
+  double speed; /* of the owner; other owners of its pool have 1 */
   struct
   {
     gint64 until; /* s */
     double load;
-  } stretches[3];
-  gint64 from;    /* counted from then on, s */
-  double in_time; /* share of the callers that is to be answered in time */
-  double served;  /* ... or late */
-  double failed;  /* at most */
+  } periods[3];
+  gint64 from;    /* requests are counted from then on, s */
+  double in_time; /* required share of callers answered in time */
+  double served;  /* required share answered, in time or late */
+  double failed;  /* largest share that failed */
 } Case;
 
 static const Case cases[] = {
-  /* All entries start anew and meet more than the owner can serve for two
-   * seconds; then it is half busy.  An entry that goes by what it heard then
-   * for ever refuses two thirds of its callers while the owner idles. */
+  /* All entries start together and receive more than the owner can serve for
+   * two seconds; then the owner is half busy.  An entry that keeps the
+   * estimate of that time refuses two thirds of its callers while the owner
+   * idles. */
   { "after a flood", 2, 8, 1, { { 2, 4 }, { 30, 0.5 } }, 6, 0.82, 0.93, 0.02 },
-  /* A queue that is shorter than what the entries would send.  Unless they
-   * learn from what is reset, a tenth of all fails, and a third when more is
-   * asked for than can be served. */
+  /* A queue shorter than what the entries would send.  Unless they adapt to
+   * resets, a tenth of all requests fails, and a third under overload. */
   { "a short queue", 2, 2, 1, { { 30, 0.8 } }, 2, 0.75, 0.85, 0.08 },
   { "a short queue, too much", 2, 2, 1, { { 30, 1.5 } }, 2, 0.4, 0.55, 0.25 },
   { "one slot", 1, 4, 1, { { 30, 0.4 } }, 2, 0.5, 0.85, 0.03 },
-  /* A burst of a second, which the entries hear of late. */
+  /* A burst of one second, of which the entries get late reports. */
   { "a burst",
     2,
     8,
@@ -69,7 +68,7 @@
     0.4,
     0.7,
     0.08 },
-  /* A key of which more is asked for than its owner can serve. */
+  /* A key that gets more requests than its owner can serve. */
   { "a hot key",
     2,
     8,
@@ -86,13 +85,13 @@
 
 typedef struct
 {
-  gint64 asked; /* when its caller first asked, us */
-  gint64 due;   /* when it asks (again), us */
-  gint64 sent;  /* us */
-  gint64 ends;  /* work in a slot, us; 0: it waits */
-  gint64 limit; /* when the owner stops work on it, us */
-  double work;  /* us */
-  double share; /* of its time that is work, by the entry's estimate */
+  gint64 arrived; /* first request of its caller, us */
+  gint64 due;     /* time of the next request, us */
+  gint64 sent;    /* us */
+  gint64 ends;    /* end of its work in a slot, us; 0: waiting */
+  gint64 limit;   /* when the owner stops work on it, us */
+  double work;    /* us */
+  double share;   /* estimated part of its time that is work */
   guint entry;
   guint tries;
   guint resets;
@@ -100,7 +99,7 @@
 
 typedef struct
 {
-  guint asked;
+  guint requests;
   guint in_time;
   guint served;
   guint failed;
@@ -110,10 +109,10 @@
 {
   const Case *c;
   GRand *rand;
-  CcTarget seen[ENTRIES]; /* the owner, as each entry sees it */
+  CcTarget owners[ENTRIES]; /* each entry's record of the owner */
   CcWorkTimes times[ENTRIES];
-  GPtrArray *coming; /* of Request, that ask later */
-  GPtrArray *inside; /* of Request, in order */
+  GPtrArray *pending; /* of Request, to be sent later */
+  GPtrArray *inside;  /* of Request, in order of arrival */
   Result result;
 } World;
 
@@ -150,9 +149,10 @@
                      .typical = cc_work_times_of (&w->times[entry], "read") };
 }
 
-/* The entry's knowledge of the pool is of owners of speed 1. */
+/* Records the end of R at its entry.  The entry's typical times are those of
+ * owners of speed 1. */
 static void
-note_end (World *w, Request *r, CcPickEnd end, gint64 now)
+record_end (World *w, Request *r, CcPickEnd end, gint64 now)
 {
   CcPickResult result = { .end = end,
                           .took = now - r->sent,
@@ -162,23 +162,23 @@
   if (end == CC_PICK_ANSWERED)
     result.report =
         (CcLoadReport){ TRUE, running (w), w->inside->len - running (w) };
-  cc_pick_ended (&w->seen[r->entry].load, &result, now);
+  cc_pick_ended (&w->owners[r->entry].load, &result, now);
 }
 
 static gboolean
-counts (const World *w, const Request *r)
+is_counted (const World *w, const Request *r)
 {
-  return r->asked >= w->c->from * CC_SECOND;
+  return r->arrived >= w->c->from * CC_SECOND;
 }
 
-/* The caller of R gets an answer, or none. */
+/* Ends R, with a response for its caller if SERVED. */
 static void
 finish (World *w, Request *r, gboolean served, gint64 now)
 {
-  if (counts (w, r) && served)
+  if (is_counted (w, r) && served)
     {
       w->result.served++;
-      w->result.in_time += now - r->asked <= TARGET;
+      w->result.in_time += now - r->arrived <= TARGET;
     }
   g_free (r);
 }
@@ -186,8 +186,8 @@
 static void
 refuse (World *w, Request *r, const CcChoice *c, gint64 now)
 {
-  gint64 left = r->asked + DEADLINE - now;
-  gint64 wait = cc_choose_capacity_at (c, &w->seen[r->entry], now) - now;
+  gint64 left = r->arrived + DEADLINE - now;
+  gint64 wait = cc_choose_capacity_at (c, &w->owners[r->entry], now) - now;
   gint64 after = cc_backlog_retry_after (wait, left, g_rand_double (w->rand));
 
   if (r->tries > 1 || after > left / 3)
@@ -196,11 +196,11 @@
       return;
     }
   r->due = now + after;
-  g_ptr_array_add (w->coming, r);
+  g_ptr_array_add (w->pending, r);
 }
 
-/* The owner has reset R.  The entry repeats it once, and the caller is told
- * that it failed if that is in vain; then it asks again at once. */
+/* Handles a reset of R by the owner.  The entry repeats R once after a delay;
+ * a second reset counts as failed. */
 static void
 repeat (World *w, Request *r, gint64 now)
 {
@@ -210,23 +210,23 @@
   if (r->resets == 1)
     {
       r->due = now + (gint64) (1.5 * one);
-      g_ptr_array_add (w->coming, r);
+      g_ptr_array_add (w->pending, r);
       return;
     }
-  w->result.failed += counts (w, r);
+  w->result.failed += is_counted (w, r);
   finish (w, r, FALSE, now);
 }
 
-/* R asks at one of the entries. */
+/* Sends R to one of the entries. */
 static void
-ask (World *w, Request *r, gint64 now)
+send_request (World *w, Request *r, gint64 now)
 {
   CcTarget *owner;
   CcChoice c;
 
   r->entry = (guint) g_rand_int_range (w->rand, 0, ENTRIES);
   r->tries++;
-  owner = &w->seen[r->entry];
+  owner = &w->owners[r->entry];
   c = choice (w, r->entry);
   if (!cc_choose_has_capacity (&c, owner, now))
     {
@@ -234,7 +234,7 @@
       return;
     }
   r->sent = now;
-  r->limit = MIN (now + TIMEOUT, r->asked + DEADLINE);
+  r->limit = MIN (now + TIMEOUT, r->arrived + DEADLINE);
   r->work = draw_work (w);
   r->share =
       cc_pick_sent (&owner->load, &c.typical,
@@ -244,7 +244,7 @@
       g_ptr_array_add (w->inside, r);
       return;
     }
-  note_end (w, r, CC_PICK_REJECTED, now);
+  record_end (w, r, CC_PICK_REJECTED, now);
   repeat (w, r, now);
 }
 
@@ -259,7 +259,7 @@
       if (!done && r->limit > now)
         continue;
       g_ptr_array_remove_index (w->inside, i--);
-      note_end (w, r, CC_PICK_ANSWERED, now);
+      record_end (w, r, CC_PICK_ANSWERED, now);
       if (done)
         cc_work_times_add (&w->times[r->entry], "read",
                            (double) (now - r->sent) * r->share);
@@ -277,9 +277,9 @@
 static double
 load_at (const Case *c, gint64 now)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (c->stretches); i++)
-    if (now < c->stretches[i].until * CC_SECOND)
-      return c->stretches[i].load;
+  for (guint i = 0; i < G_N_ELEMENTS (c->periods); i++)
+    if (now < c->periods[i].until * CC_SECOND)
+      return c->periods[i].load;
   return 0;
 }
 
@@ -292,18 +292,18 @@
     {
       Request *r = g_new0 (Request, 1);
 
-      r->asked = r->due = now;
-      w->result.asked += counts (w, r);
-      g_ptr_array_add (w->coming, r);
+      r->arrived = r->due = now;
+      w->result.requests += is_counted (w, r);
+      g_ptr_array_add (w->pending, r);
     }
-  for (guint i = 0; i < w->coming->len; i++)
+  for (guint i = 0; i < w->pending->len; i++)
     {
-      Request *r = w->coming->pdata[i];
+      Request *r = w->pending->pdata[i];
 
       if (r->due > now)
         continue;
-      g_ptr_array_remove_index (w->coming, i--);
-      ask (w, r, now);
+      g_ptr_array_remove_index (w->pending, i--);
+      send_request (w, r, now);
     }
 }
 
@@ -315,17 +315,17 @@
 }
 
 static void
-play (const Case *c, guint seed, Result *sum)
+simulate (const Case *c, guint seed, Result *sum)
 {
   World w = { .c = c, .rand = g_rand_new_with_seed (seed) };
 
-  w.coming = g_ptr_array_new ();
+  w.pending = g_ptr_array_new ();
   w.inside = g_ptr_array_new ();
   for (guint e = 0; e < ENTRIES; e++)
     {
-      w.seen[e] = (CcTarget){ .load.slots = c->slots };
+      w.owners[e] = (CcTarget){ .load.slots = c->slots };
       cc_work_times_init (&w.times[e]);
-      /* The rest of the pool has shown how long work takes. */
+      /* Work times as measured at the rest of the pool. */
       for (guint i = 0; i < 5; i++)
         cc_work_times_add (&w.times[e], "read", WORK);
     }
@@ -336,10 +336,10 @@
     }
   for (guint e = 0; e < ENTRIES; e++)
     cc_work_times_clear (&w.times[e]);
-  free_all (w.coming);
+  free_all (w.pending);
   free_all (w.inside);
   g_rand_free (w.rand);
-  sum->asked += w.result.asked;
+  sum->requests += w.result.requests;
   sum->in_time += w.result.in_time;
   sum->served += w.result.served;
   sum->failed += w.result.failed;
@@ -359,13 +359,13 @@
       double in_time, served, failed;
 
       for (guint seed = 1; seed <= SEEDS; seed++)
-        play (c, seed, &r);
-      in_time = (double) r.in_time / r.asked;
-      served = (double) r.served / r.asked;
-      failed = (double) r.failed / r.asked;
+        simulate (c, seed, &r);
+      in_time = (double) r.in_time / r.requests;
+      served = (double) r.served / r.requests;
+      failed = (double) r.failed / r.requests;
       if (print)
         print_message ("%-28s in time %.3f served %.3f failed %.3f of %u\n",
-                       c->name, in_time, served, failed, r.asked);
+                       c->name, in_time, served, failed, r.requests);
       if (in_time >= c->in_time && served >= c->served && failed <= c->failed)
         continue;
       print_error ("%s: in time %.3f, served %.3f, failed %.3f\n", c->name,
