--- a/targets.c
+++ b/targets.c
@@ -4,7 +4,7 @@
  * that are alive lapse together.  Without a grace period every upstream counts
  * as gone, and nothing is served although all of them work.  So after an
  * outage of the table service, or when a quarter of a pool goes missing at
- * once, missing upstreams are used for another CC_VANISH_GRACE.  That is long
+ * once, missing upstreams are used for another CC_MISSING_GRACE.  That is long
  * enough, since those that are alive are listed again by then; those that do
  * not respond lose their requests to others because of their failures.
  *
@@ -190,7 +190,7 @@
 static gboolean
 recently_missing (const CcTarget *t, gint64 now)
 {
-  return t->missing && now - t->missing_since < CC_VANISH_GRACE;
+  return t->missing && now - t->missing_since < CC_MISSING_GRACE;
 }
 
 /* Returns whether so much of POOL went missing recently that an outage of the
@@ -229,10 +229,10 @@
   gint64 outage = MIN (l->outage, t->missing_found_at);
 
   if (l->outage != 0 && t->missing_since < outage &&
-      u->now - outage < CC_VANISH_GRACE)
+      u->now - outage < CC_MISSING_GRACE)
     return TRUE;
   return l->own_outage != 0 && t->missing_since < l->own_outage &&
-         u->now - t->missing_since < CC_VANISH_GRACE;
+         u->now - t->missing_since < CC_MISSING_GRACE;
 }
 
 /* Marks the missing upstreams of POOL as gone unless they may return.  Returns
--- a/targets.h
+++ b/targets.h
@@ -11,7 +11,7 @@
  * the outage are back within two seconds of its end.  The period is shorter
  * than that, since an upstream that left just then may be sent requests for
  * two seconds and no longer. */
-#define CC_VANISH_GRACE (1750 * CC_MS)
+#define CC_MISSING_GRACE (1750 * CC_MS)
 
 /* Grace period before keys are moved: all rows that lapsed are back by then. */
 #define CC_RETURN_GRACE (2500 * CC_MS)
--- a/test/test_targets.c
+++ b/test/test_targets.c
@@ -252,10 +252,10 @@
     list (&v, k, NULL);
   update (&t, &v, 0, at);
   assert_int_equal (usable (&t), UPSTREAMS);
-  update (&t, &v, 0, at + CC_VANISH_GRACE);
+  update (&t, &v, 0, at + CC_MISSING_GRACE);
   assert_int_equal (usable (&t), UPSTREAMS / 2);
   assert_false (cc_targets_serves_keys (&t, cc_targets_find (&t, "u0"),
-                                        at + CC_VANISH_GRACE));
+                                        at + CC_MISSING_GRACE));
   cc_view_clear (&v);
   cc_targets_clear (&t);
 }
@@ -281,7 +281,7 @@
   for (guint k = 1; k <= UPSTREAMS / 2; k++)
     list (&v, k, NULL);
   update (&t, &v, missed, later);
-  update (&t, &v, missed, missed + CC_VANISH_GRACE);
+  update (&t, &v, missed, missed + CC_MISSING_GRACE);
   assert_int_equal (cc_targets_find (&t, "u0")->state, CC_TARGET_GONE);
   assert_int_equal (usable (&t), UPSTREAMS - 1);
   cc_view_clear (&v);
