--- a/admission.c
+++ b/admission.c
@@ -42,12 +42,14 @@
  * the measured one. */
 #define RETRY_AFTER_MAX (10 * CC_SECOND)
 
+/* Returns an upper estimate of the service time of A itself, us. */
 static gint64
 service_bound (const CcAdmissionRequest *a)
 {
   return a->service + SERVICE_DEVIATIONS * a->deviation;
 }
 
+/* Returns the expected wait of A for a slot, us. */
 static gint64
 expected_wait (const CcAdmissionRequest *a)
 {
--- a/backlog.c
+++ b/backlog.c
@@ -24,6 +24,7 @@
  */
 #define RETURN_MIN (50 * CC_MS)
 
+/* Orders entries by priority, then by due time. */
 static gint
 by_urgency (gconstpointer a, gconstpointer b, gpointer unused)
 {
@@ -73,6 +74,7 @@
   return (guint) g_sequence_get_length (b->order);
 }
 
+/* Returns the decayed number of ended attempts at NOW. */
 static double
 decayed_ended (const CcBacklog *b, gint64 now)
 {
--- a/cost.c
+++ b/cost.c
@@ -44,6 +44,7 @@
   g_clear_pointer (&c->kinds, g_hash_table_unref);
 }
 
+/* Adds a measurement of TOOK us to COST. */
 static void
 update_estimate (CcCost *cost, gint64 took)
 {
--- a/cut_off.c
+++ b/cut_off.c
@@ -27,6 +27,7 @@
   return incarnation != NULL ? (gsize) (incarnation - id) : strlen (id);
 }
 
+/* Returns whether the platform lists the instance of ID. */
 static gboolean
 is_listed (const CcRoster *r, const char *id, gsize length)
 {
@@ -40,6 +41,7 @@
   return FALSE;
 }
 
+/* Returns whether a dispatcher of the instance of ID is registered. */
 static gboolean
 has_registered_again (const CcRoster *r, const char *id, gsize length)
 {
--- a/limit.c
+++ b/limit.c
@@ -46,6 +46,7 @@
   return running < l->limit && now >= l->paused_until;
 }
 
+/* Counts a response during warm-up and raises the limit if it is due. */
 static void
 warm_up (CcLimit *l)
 {
@@ -56,6 +57,7 @@
   l->warming = l->limit < SLOTS;
 }
 
+/* Discards the measurements of the current round. */
 static void
 end_round (CcLimit *l)
 {
@@ -63,6 +65,7 @@
   l->round_began = 0;
 }
 
+/* Starts a round at a limit of one more or one less, in turn. */
 static void
 begin_trial (CcLimit *l, gint64 now)
 {
@@ -76,6 +79,8 @@
   l->state = CC_LIMIT_TRIAL;
 }
 
+/* Adopts the limit of a trial that measured RATE, or returns to the baseline.
+ */
 static void
 evaluate_trial (CcLimit *l, double rate)
 {
@@ -92,6 +97,7 @@
   l->state = CC_LIMIT_STEADY;
 }
 
+/* Ends a round of ROUND_ANSWERS responses at NOW. */
 static void
 evaluate_round (CcLimit *l, gint64 now)
 {
@@ -136,6 +142,7 @@
     evaluate_round (l, now);
 }
 
+/* Lowers the limit to TO, at least one, and ends any trial. */
 static void
 lower_limit (CcLimit *l, guint to, gint64 now)
 {
--- a/link_health.c
+++ b/link_health.c
@@ -58,6 +58,8 @@
   h->waiting_since = sequence == h->sequence ? 0 : now;
 }
 
+/* Excludes the time in which this process was paused from the wait for a
+ * response. */
 static void
 skip_own_pause (CcLinkHealth *h, gint64 now)
 {
--- a/pick.c
+++ b/pick.c
@@ -27,12 +27,12 @@
 #define OWNER_HALF_LIFE_MIN (1 * CC_SECOND)
 /* Weight of a new report in the moving mean. */
 #define REPORT_WEIGHT 0.2
-/* Prior weight, in responses, of the assumption that an upstream is as fast as
- * a typical one.  Times of one kind of work deviate by about their mean,
- * speeds of a pool's upstreams by less than half of it; the ratio of these
- * variances is the number of responses that outweighs the prior.  Without a
- * prior, a first long response of an idle upstream made it look three times
- * too slow, and requests for its keys were refused while it had a free slot. */
+/* Weight, in responses, of the assumption that an upstream is as fast as a
+ * typical one.  Times of one kind of work deviate by about their mean, speeds
+ * of a pool's upstreams by less than half of it; the ratio of these variances
+ * is the number of responses that weigh as much as the assumption.  Without
+ * it, a first long response of an idle upstream made it look three times too
+ * slow, and requests for its keys were refused while it had a free slot. */
 #define SLOWNESS_PRIOR 5.0
 /* Each new response lowers the weight of the earlier ones by this part, so
  * about ten responses show that an upstream has become slow. */
@@ -63,12 +63,15 @@
 /* Backoff after a refusal for load, in which the queue can drain. */
 #define BACKOFF_SHED (50 * CC_MS)
 
+/* Returns the remaining weight at NOW of a value from SINCE with the half-life
+ * HALF. */
 static double
 decay_factor (gint64 since, gint64 now, gint64 half)
 {
   return exp2 (-(double) MAX (now - since, 0) / (double) half);
 }
 
+/* Updates the estimate of L from REPORT, the upstream's own. */
 static void
 apply_report (CcTargetLoad *l, const CcLoadReport *report, gint64 now)
 {
@@ -92,6 +95,7 @@
   return l->reject_from + (double) (now - l->rejected_at) / REJECT_RAISE_PERIOD;
 }
 
+/* Starts the next backoff of L, which was unreachable at NOW. */
 static void
 back_off (CcTargetLoad *l, gint64 now)
 {
@@ -100,8 +104,10 @@
   l->avoid_until = now + l->avoid_span;
 }
 
+/* Adds an attempt to the failure rate of L; FAILED is 1 if it failed, else 0.
+ */
 static void
-count_failure (CcTargetLoad *l, double failed, gint64 now)
+update_failure_rate (CcTargetLoad *l, double failed, gint64 now)
 {
   l->failures *= decay_factor (l->failures_at, now, FAILURE_HALF_LIFE);
   l->failures += FAILURE_WEIGHT * (failed - l->failures);
@@ -128,6 +134,7 @@
   l->reported_at = now;
 }
 
+/* Adds a response to the measured slowness of L. */
 static void
 count_response (CcTargetLoad *l, double slowness, gint64 now)
 {
@@ -156,22 +163,22 @@
       l->answers_unreported++;
       l->avoid_span = 0;
       l->reached_at = now;
-      count_failure (l, 0.0, now);
+      update_failure_rate (l, 0.0, now);
       break;
     case CC_PICK_REJECTED:
       record_rejection (l, r->typical, now);
-      count_failure (l, 1.0, now);
+      update_failure_rate (l, 1.0, now);
       break;
     case CC_PICK_SHED:
       l->avoid_until = MAX (l->avoid_until, now + BACKOFF_SHED);
-      count_failure (l, 1.0, now);
+      update_failure_rate (l, 1.0, now);
       break;
     case CC_PICK_FAILED:
-      count_failure (l, 1.0, now);
+      update_failure_rate (l, 1.0, now);
       break;
     case CC_PICK_UNREACHABLE:
       back_off (l, now);
-      count_failure (l, 1.0, now);
+      update_failure_rate (l, 1.0, now);
       break;
     case CC_PICK_ABANDONED:
       break;
--- a/pick.h
+++ b/pick.h
@@ -20,8 +20,8 @@
                              typical ones */
   double slowness_weight; /* decayed number of responses in that sum */
   gint64 slowness_at;     /* when a response was last added, us */
-  double work_unreported; /* work of its responses since this entry's last
-                             report to the granter, us */
+  double work_unreported; /* work of its responses since this entry's last load
+                             report, us */
   guint answers_unreported;
   double failures;    /* decayed share of attempts that failed, 0 to 1 */
   gint64 failures_at; /* end of the last attempt, us */
--- a/pool_load.c
+++ b/pool_load.c
@@ -20,6 +20,7 @@
                     : (double) MAX (now - p->at, 0) / (double) p->half_life;
 }
 
+/* Decays the sums of P from its last report until NOW. */
 static void
 decay_sums (CcPoolLoad *p, gint64 now)
 {
--- a/queue.c
+++ b/queue.c
@@ -52,6 +52,7 @@
   g_clear_pointer (&q->slices, g_hash_table_unref);
 }
 
+/* Orders jobs by due time, then by arrival. */
 static gint
 compare_due (gconstpointer a, gconstpointer b, gpointer unused)
 {
@@ -95,6 +96,7 @@
          g_sequence_is_empty (lane->order[1]);
 }
 
+/* Returns the sum of costs recorded for ID in SUMS, us. */
 static gint64
 cost_of (GHashTable *sums, guint id)
 {
@@ -103,6 +105,7 @@
   return (gint64) GPOINTER_TO_SIZE (sum);
 }
 
+/* Adds COST, us, to the sum of ID; one that is not positive is removed. */
 static void
 add_cost (GHashTable *sums, guint id, gint64 cost)
 {
@@ -115,6 +118,7 @@
     g_hash_table_remove (sums, GUINT_TO_POINTER (id));
 }
 
+/* Adds (SIGN 1) or subtracts (SIGN -1) W in all sums of Q and its LANE. */
 static void
 add_to_sums (CcQueue *q, CcLane *lane, const CcQueueEntry *w, int sign)
 {
@@ -154,6 +158,7 @@
   add_to_sums (q, find_lane (q, w->class_id), w, -1);
 }
 
+/* Returns the first job of ORDER that MAY allows, or NULL. */
 static CcQueueEntry *
 first_sendable (GSequence *order, CcMaySend may, gpointer data)
 {
@@ -165,6 +170,7 @@
   return NULL;
 }
 
+/* Returns the job of LANE to be sent next, or NULL. */
 static CcQueueEntry *
 first_of_lane (const CcLane *lane, gboolean long_too, CcMaySend may,
                gpointer data)
--- a/retry.c
+++ b/retry.c
@@ -32,6 +32,7 @@
   g_clear_pointer (&r->budgets, g_hash_table_unref);
 }
 
+/* Returns the budget of CLASS_ID; a new class starts with a full one. */
 static guint *
 find_budget (CcRetries *r, guint class_id)
 {
--- a/retry_budget.c
+++ b/retry_budget.c
@@ -17,6 +17,7 @@
  * counted in the next while its repeat is counted in this one. */
 #define RATIO_PART 0.8
 
+/* Returns the size of an entry's bucket, in tokens. */
 static double
 capacity (const CcRetryBound *bound, guint entries)
 {
--- a/targets.c
+++ b/targets.c
@@ -76,6 +76,8 @@
   return list;
 }
 
+/* Returns whether A and B describe the same start of an upstream, with the
+ * same address and pool. */
 static gboolean
 same_incarnation (const CcListing *a, const CcListing *b)
 {
@@ -83,6 +85,7 @@
          g_str_equal (a->pool, b->pool);
 }
 
+/* Sets the state of T, which began at AT if it is a new one. */
 static void
 set_state (CcTarget *t, CcTargetState state, gint64 at)
 {
@@ -138,7 +141,7 @@
 typedef struct
 {
   CcTargets *all;
-  const CcTargetsSource *listed;
+  const CcTargetsSource *source;
   CcListingDecode decode;
   gint64 now;
   CcTargetChanged changed;
@@ -150,10 +153,11 @@
 static gint64
 written_after (const Update *u, guint64 version)
 {
-  return MIN (cc_version_clock_written_after (u->listed->clock, version),
+  return MIN (cc_version_clock_written_after (u->source->clock, version),
               u->now);
 }
 
+/* Marks T as missing since the row with VERSION. */
 static void
 mark_missing (const Update *u, CcTarget *t, guint64 version)
 {
@@ -164,6 +168,7 @@
   t->missing_found_at = u->now;
 }
 
+/* Updates the upstream of ROW. */
 static void
 apply_row (Update *u, const CcRow *row)
 {
@@ -187,6 +192,7 @@
     u->changed (g_hash_table_lookup (u->all->by_id, row->key), u->data);
 }
 
+/* Returns whether T is missing and still within its grace period. */
 static gboolean
 recently_missing (const CcTarget *t, gint64 now)
 {
@@ -225,7 +231,7 @@
 static gboolean
 may_have_lapsed (const Update *u, const CcTarget *t)
 {
-  const CcTargetsSource *l = u->listed;
+  const CcTargetsSource *l = u->source;
   gint64 outage = MIN (l->outage, t->missing_found_at);
 
   if (l->outage != 0 && t->missing_since < outage &&
@@ -262,16 +268,16 @@
   return pending;
 }
 
-/* Updates T from LISTED at NOW and calls CHANGED with DATA for each change.
+/* Updates T from SOURCE at NOW and calls CHANGED with DATA for each change.
  * Returns TRUE if it is to be called again soon, for missing upstreams that
  * may return. */
 gboolean
-cc_targets_update (CcTargets *t, const CcTargetsSource *listed,
+cc_targets_update (CcTargets *t, const CcTargetsSource *source,
                    CcListingDecode decode, gint64 now, CcTargetChanged changed,
                    gpointer data)
 {
-  Update u = { t, listed, decode, now, changed, data };
-  g_autoptr (GPtrArray) rows = cc_view_rows (listed->view);
+  Update u = { t, source, decode, now, changed, data };
+  g_autoptr (GPtrArray) rows = cc_view_rows (source->view);
   gboolean pending = FALSE;
   GHashTableIter i;
   gpointer value;
--- a/targets.h
+++ b/targets.h
@@ -76,7 +76,7 @@
 void cc_listing_clear (CcListing *l);
 void cc_targets_init (CcTargets *t);
 void cc_targets_clear (CcTargets *t);
-gboolean cc_targets_update (CcTargets *t, const CcTargetsSource *listed,
+gboolean cc_targets_update (CcTargets *t, const CcTargetsSource *source,
                             CcListingDecode decode, gint64 now,
                             CcTargetChanged changed, gpointer data);
 CcTarget *cc_targets_find (const CcTargets *t, const char *id);
--- a/test/test_call_timeout.c
+++ b/test/test_call_timeout.c
@@ -26,7 +26,7 @@
 static const Case cases[] = {
   { "quick answers", { 5, 5, 5, 5, 5, 5 }, 6, 0, 700 },
   { "one lost call among quick ones", { 5, 5, 5, LOST, 5, 5 }, 6, 1, 700 },
-  { "each answer takes longer than the least",
+  { "each response takes longer than the lower bound",
     { 900, 900, 900, 900, 900, 900, 900, 900 },
     8,
     1,
--- a/test/test_choose.c
+++ b/test/test_choose.c
@@ -120,7 +120,7 @@
 }
 
 static void
-the_soonest_answer_wins_and_near_ones_before_it (void **state)
+near_upstreams_are_preferred_while_in_time (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -234,7 +234,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (the_soonest_answer_wins_and_near_ones_before_it),
+    cmocka_unit_test (near_upstreams_are_preferred_while_in_time),
     cmocka_unit_test (all_unreachable_is_known_at_once),
     cmocka_unit_test (only_the_owner_gets_a_key),
   };
--- a/test/test_hedge.c
+++ b/test/test_hedge.c
@@ -20,7 +20,7 @@
 static const Case cases[] = {
   { "silent connection", { FALSE, 40000, 4, { 4000, 1000 } }, TRUE },
   { "slow server: slow for all", { FALSE, 40000, 3, { 4000, 1000 } }, FALSE },
-  { "frozen server", { FALSE, 900000, 0, { 4000, 1000 } }, FALSE },
+  { "stalled server", { FALSE, 900000, 0, { 4000, 1000 } }, FALSE },
   { "once-only", { TRUE, 900000, 900, { 4000, 1000 } }, FALSE },
   { "long by nature", { FALSE, 90000, 90, { 80000, 20000 } }, FALSE },
   { "a lost packet", { FALSE, 15000, 99, { 1000, 100 } }, FALSE },
--- a/test/test_link_health.c
+++ b/test/test_link_health.c
@@ -1,12 +1,5 @@
 /* Guards against requests lost on links that have gone silent or whose peer is
- * stalled, and against links closed since this process itself was paused.
- * Scripts have one letter for each poll, 100 ms apart:
- *
- *   c  a connection is made        l  it is lost
- *   a  the last ping is answered   o  a ping of an earlier connection
- *   .  nothing                        is answered
- *   P  this process was paused for 5 s before the poll
- *   I  3 s with polls, all answered, link not used (idle) */
+ * stalled, and against links closed since this process itself was paused. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,6 +9,14 @@
 
 #include "link_health.h"
 
+/* Performs one step WHAT of a script.  A script has one letter per poll, polls
+ * are 100 ms apart:
+ *
+ *   c  a connection is made        l  it is lost
+ *   a  the last ping is answered   o  a ping of an earlier connection
+ *   .  nothing                        is answered
+ *   P  this process was paused for 5 s before the poll
+ *   I  3 s with polls, all answered, link not used (idle) */
 static void
 act (CcLinkHealth *h, char what, gint64 *now)
 {
--- a/test/test_overload.c
+++ b/test/test_overload.c
@@ -1,11 +1,5 @@
 /* Guards against a burst that a large fleet serves worse than a small one,
- * since each entry receives fewer and older reports of one upstream.
- *
- * The pool grows with the fleet.  Its upstreams differ in speed, have a
- * bounded queue of unknown length, and reset requests beyond it.  A new
- * connection waits for a slot like a request, and its request is queued only
- * then.  A refused caller returns once, at the time it was told; one whose
- * request failed returns at once if its work may be repeated. */
+ * since each entry receives fewer and older reports of one upstream. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -31,7 +25,7 @@
 #define SPREAD 0.7               /* deviation of its logarithm */
 #define ACCEPT_TIME (1 * CC_MS)  /* in a slot, per new connection */
 #define IDLE_MAX (8 * CC_SECOND) /* a connection is kept this long */
-#define TARGET (700 * CC_MS)     /* an answer is in time until then */
+#define TARGET (700 * CC_MS)     /* latency target */
 #define TIMEOUT (1500 * CC_MS)   /* longest time that an entry waits */
 #define DEADLINE (3000 * CC_MS)  /* of the caller */
 #define BASE_LOAD 0.65 /* load before the burst, as a part of the capacity */
@@ -88,6 +82,11 @@
   guint failed;
 } Result;
 
+/* The pool grows with the fleet.  Its upstreams differ in speed, have a bounded
+ * queue of unknown length, and reset requests beyond it.  A new connection
+ * waits for a slot like a request, and its request is queued only then.  A
+ * refused caller returns once, at the time it was told; one whose request
+ * failed returns at once if its work may be repeated. */
 typedef struct
 {
   const Case *c;
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -21,7 +21,7 @@
 #define TICK (5 * CC_MS)
 #define WORK (220.0 * CC_MS)    /* mean work time at an owner of speed 1 */
 #define SPREAD 0.7              /* deviation of its logarithm */
-#define TARGET (600 * CC_MS)    /* an answer is in time until then */
+#define TARGET (600 * CC_MS)    /* latency target */
 #define TIMEOUT (1200 * CC_MS)  /* longest time that an entry waits */
 #define DEADLINE (2500 * CC_MS) /* of the caller */
 #define SPAN_MAX 30             /* s */
--- a/test/test_pool_load.c
+++ b/test/test_pool_load.c
@@ -30,7 +30,7 @@
 } Case;
 
 static const Case cases[] = {
-  { "nothing known", 0, 0, 0, 0, 0, 0, 0, 0 },
+  { "no report", 0, 0, 0, 0, 0, 0, 0, 0 },
   { "all alike", 0, 20, 3, 0, 0, 0, 2.8, 3 },
   { "half of them", 10, 10, 3, 0, 0, 0, 1.4, 1.5 },
   { "few reports", 0, 1, 3, 0, 0, 0, 1.4, 1.5 },
--- a/test/test_work_times.c
+++ b/test/test_work_times.c
@@ -67,8 +67,8 @@
 } Case;
 
 static const Case cases[] = {
-  { "nothing known", 1, 0, 0, 1, 1 },
-  { "one long answer", 4, 1, 0, 1, 1.6 },
+  { "no response", 1, 0, 0, 1, 1 },
+  { "one long response", 4, 1, 0, 1, 1.6 },
   { "as the others", 1, 20, 0, 0.99, 1.01 },
   { "lastingly fast", 0.5, 20, 0, 0.5, 0.75 },
   { "lastingly slow", 1.6, 20, 0, 1.3, 1.6 },
--- a/work_rates.c
+++ b/work_rates.c
@@ -46,12 +46,14 @@
   g_hash_table_unref (r->pools);
 }
 
+/* Returns the remaining weight of S at NOW. */
 static double
 decay_factor (const Sum *s, gint64 now)
 {
   return exp2 (-(double) MAX (now - s->at, 0) / ANSWERS_HALF_LIFE);
 }
 
+/* Adds a report to the sum of NAME, which is created if needed. */
 static void
 add_to_sum (GHashTable *sums, const char *name, double work, guint answers,
             gint64 now)
--- a/work_times.c
+++ b/work_times.c
@@ -32,6 +32,7 @@
   g_hash_table_unref (t->kinds);
 }
 
+/* Adds a response of WORK us to the moving mean. */
 static void
 update_mean (CcWorkTime *u, double work)
 {
