--- a/forward.c
+++ b/forward.c
@@ -295,7 +295,7 @@
 
       if (!g_str_has_prefix (row->key, prefix))
         continue;
-      cc_key_ranges_take (&p->ranges, row);
+      cc_key_ranges_apply_row (&p->ranges, row);
       found = TRUE;
     }
   return found;
--- a/gateway.c
+++ b/gateway.c
@@ -243,9 +243,9 @@
                          .reads_all = cc_members_reads_all (g->members),
                          .distance = cc_members_distance (g->members),
                          .fleet = count };
-  cc_granter_rank (g->granter, cc_members_rank (g->members), count);
+  cc_granter_set_rank (g->granter, cc_members_rank (g->members), count);
   if (role.distance == 0)
-    cc_granter_named (g->granter);
+    cc_granter_named_in_table (g->granter);
   cc_forwarder_entries (g->forwarder, count);
   cc_load_reporter_relay (g->reporter, cc_members_is_relay (g->members));
   bound_connections (g);
@@ -263,7 +263,7 @@
 static void
 on_work_report (const char *target, double work, guint answers, gpointer data)
 {
-  cc_granter_work (((Gateway *) data)->granter, target, work, answers);
+  cc_granter_add_work (((Gateway *) data)->granter, target, work, answers);
 }
 
 /* Adds what this entry saw each owner of keys work to its next report. */
--- a/granted_pool.c
+++ b/granted_pool.c
@@ -43,7 +43,7 @@
 
 /* P has no ranges any more; its load is still known. */
 void
-cc_granted_pool_forget (CcGrantedPool *p)
+cc_granted_pool_reset (CcGrantedPool *p)
 {
   g_ptr_array_set_size (p->grants, 0);
   g_ptr_array_set_size (p->ranges.list, 0);
@@ -85,7 +85,7 @@
     cc_view_put (&view, key, version, value);
   cc_key_ranges_read (&p->ranges, &view, p->name);
   cc_view_clear (&view);
-  cc_key_ranges_fill (&p->ranges);
+  cc_key_ranges_fill_gaps (&p->ranges);
   fence = cc_key_ranges_top_fence (&p->ranges);
   for (guint k = 0; k < p->ranges.list->len; k++)
     {
@@ -243,7 +243,7 @@
                      .level = how->level,
                      .changed = changed };
 
-  cc_key_load_fade (&p->load, how->now);
+  cc_key_load_decay (&p->load, how->now);
   for (guint i = 0; i < p->grants->len; i++)
     {
       CcRangeGrant *x = p->grants->pdata[i];
@@ -253,7 +253,8 @@
        * it was sent for.  Taken for another's, it let a new owner begin while
        * the old one still held the keys; and a renewal that overtakes a release
        * gives the keys back to who had released them. */
-      x->range->busy = x->calling || cc_range_grant_is_unsettled (x, how->now);
+      x->range->busy =
+          x->calling || cc_range_grant_is_unconfirmed (x, how->now);
     }
   cc_key_plan (&plan);
   add_grants (p, changed);
@@ -283,7 +284,7 @@
 
 /* Adds the grants whose rows are to be written to DIRTY, up to MOST there. */
 void
-cc_granted_pool_dirty (const CcGrantedPool *p, guint most, GPtrArray *dirty)
+cc_granted_pool_add_dirty (const CcGrantedPool *p, guint most, GPtrArray *dirty)
 {
   for (guint i = 0; i < p->grants->len && dirty->len < most; i++)
     if (((CcRangeGrant *) p->grants->pdata[i])->dirty)
--- a/granted_pool.h
+++ b/granted_pool.h
@@ -26,12 +26,12 @@
 
 CcGrantedPool *cc_granted_pool_new (const char *name, CcGrantShared *shared);
 void cc_granted_pool_free (gpointer pool);
-void cc_granted_pool_forget (CcGrantedPool *p);
+void cc_granted_pool_reset (CcGrantedPool *p);
 void cc_granted_pool_load (CcGrantedPool *p, GVariant *rows,
                            const CcPredecessor *before);
 guint cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *how);
 guint cc_granted_pool_step (CcGrantedPool *p, gint64 now);
-void cc_granted_pool_dirty (const CcGrantedPool *p, guint most,
-                            GPtrArray *dirty);
+void cc_granted_pool_add_dirty (const CcGrantedPool *p, guint most,
+                                GPtrArray *dirty);
 
 #endif
--- a/granter.c
+++ b/granter.c
@@ -158,7 +158,7 @@
  * Load pattern: all processes start together, and each polls the lease's row at
  * once.  Only the first few need to. */
 void
-cc_granter_rank (CcGranter *g, guint rank, guint fleet)
+cc_granter_set_rank (CcGranter *g, guint rank, guint fleet)
 {
   gboolean is_first = g->fleet == 0;
 
@@ -176,7 +176,7 @@
  * to wait for a term, in which keys lapse; and a weak process would not poll it
  * in that time. */
 void
-cc_granter_named (CcGranter *g)
+cc_granter_named_in_table (CcGranter *g)
 {
   if (!g->named && !g->shared.lease.held)
     g->next_poll = 0;
@@ -193,14 +193,14 @@
 cc_granter_lease_received (CcGranter *g, guint64 version, gint64 seen_at)
 {
   /* Who claims the lease has read the row before. */
-  CcGranterRow row = { .version = version, .others = CC_GRANTER_BLIND };
+  CcGranterRow row = { .version = version, .others = CC_GRANTER_RENEWAL_LIMIT };
   gint64 quiet = RENEWAL_QUIET;
 
   if (g->shared.lease.held || version <= g->shared.lease.version)
     return;
   if (g->rank >= WATCH_RANKS)
     quiet += (gint64) (g_random_double () * (double) poll_period (g));
-  cc_granter_lease_seen (&g->shared.lease, &row, seen_at);
+  cc_granter_lease_row_read (&g->shared.lease, &row, seen_at);
   g->may_claim = FALSE;
   g->next_poll = seen_at + quiet;
 }
@@ -274,7 +274,7 @@
 
   g_hash_table_iter_init (&i, g->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    cc_granted_pool_forget (value);
+    cc_granted_pool_reset (value);
   g_ptr_array_set_size (g->writing, 0);
   g->loaded = FALSE;
 }
@@ -309,7 +309,7 @@
 read_lease_value (const char *value)
 {
   g_autoptr (JsonNode) root = json_from_string (value, NULL);
-  LeaseValue v = { .others = CC_GRANTER_BLIND };
+  LeaseValue v = { .others = CC_GRANTER_RENEWAL_LIMIT };
   JsonObject *o;
 
   if (root == NULL || !JSON_NODE_HOLDS_OBJECT (root))
@@ -323,8 +323,8 @@
   v.sequence =
       (guint64) json_object_get_int_member_with_default (o, "sequence", 0);
   v.others = CLAMP (json_object_get_int_member_with_default (
-                        o, "others_ms", CC_GRANTER_BLIND / CC_MS),
-                    0, CC_GRANTER_BLIND / CC_MS) *
+                        o, "others_ms", CC_GRANTER_RENEWAL_LIMIT / CC_MS),
+                    0, CC_GRANTER_RENEWAL_LIMIT / CC_MS) *
              CC_MS;
   return v;
 }
@@ -426,7 +426,7 @@
           v.sequence == g->sequence)
         take_lease (g, version);
       else
-        cc_granter_lease_seen (&g->shared.lease, &row, now);
+        cc_granter_lease_row_read (&g->shared.lease, &row, now);
       /* Only what was read just now says that the holder is silent. */
       g->may_claim = cc_granter_lease_may_claim (&g->shared.lease, now) &&
                      (version != 0 || now >= g->started + g->setup.patience);
@@ -510,7 +510,7 @@
   g_ptr_array_set_size (dirty, 0);
   g_hash_table_iter_init (&i, g->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    cc_granted_pool_dirty (value, most, dirty);
+    cc_granted_pool_add_dirty (value, most, dirty);
 }
 
 static void
@@ -678,7 +678,7 @@
       g->calling = TRUE;
       cc_table_read (g->setup.table, CC_TABLE_STATE, NULL, on_state_read, g);
     }
-  else if (now >= g->sent + CC_GRANTER_RENEW || has_dirty (g))
+  else if (now >= g->sent + CC_GRANTER_RENEW_PERIOD || has_dirty (g))
     write_lease (g);
 }
 
@@ -749,7 +749,8 @@
 
 /* An entry saw TARGET work WORK us for ANSWERS answers. */
 void
-cc_granter_work (CcGranter *g, const char *target, double work, guint answers)
+cc_granter_add_work (CcGranter *g, const char *target, double work,
+                     guint answers)
 {
   const CcTarget *t = cc_targets_find (g->setup.targets, target);
 
--- a/granter_lease.c
+++ b/granter_lease.c
@@ -5,7 +5,8 @@
 
 /* The lease's row was known at NOW to be ROW. */
 void
-cc_granter_lease_seen (CcGranterLease *d, const CcGranterRow *row, gint64 now)
+cc_granter_lease_row_read (CcGranterLease *d, const CcGranterRow *row,
+                           gint64 now)
 {
   if (d->seen_at == 0 || d->version != row->version)
     d->seen_at = now;
@@ -53,7 +54,7 @@
 gboolean
 cc_granter_lease_may_renew (const CcGranterLease *d, gint64 now)
 {
-  return d->held && now < d->confirmed + CC_GRANTER_BLIND;
+  return d->held && now < d->confirmed + CC_GRANTER_RENEWAL_LIMIT;
 }
 
 /* To be asked just before a claim: until when any holder of before may send
@@ -65,7 +66,7 @@
 gint64
 cc_granter_lease_predecessors_until (const CcGranterLease *d)
 {
-  gint64 last = d->vacant ? d->seen_at : d->seen_at + CC_GRANTER_BLIND;
+  gint64 last = d->vacant ? d->seen_at : d->seen_at + CC_GRANTER_RENEWAL_LIMIT;
 
   if (d->version == 0)
     return 0;
@@ -74,7 +75,7 @@
 
 /* When a grant that arrived at ARRIVED has surely ended, us. */
 gint64
-cc_grant_ends (gint64 arrived)
+cc_grant_expiry (gint64 arrived)
 {
   return arrived + CC_GRANT_HOLD +
          (gint64) (CC_GRANT_MARGIN_PART * (double) CC_GRANT_HOLD) +
--- a/granter_lease.h
+++ b/granter_lease.h
@@ -14,20 +14,21 @@
 #define CC_GRANT_MARGIN_PART 0.02
 #define CC_GRANT_SLACK (150 * CC_MS)
 /* A grant is renewed every so often: three in a hold. */
-#define CC_GRANT_RENEW (1100 * CC_MS)
+#define CC_GRANT_RENEW_PERIOD (1100 * CC_MS)
 
 /* The lease lapses this long after its last renewal was sent.  Together with
  * the watchers' poll and the first grants it stays below CC_GRANT_HOLD minus
- * CC_GRANT_RENEW. */
+ * CC_GRANT_RENEW_PERIOD. */
 #define CC_GRANTER_TERM (2000 * CC_MS)
-#define CC_GRANTER_RENEW (650 * CC_MS) /* two lost renewals cost nothing */
+#define CC_GRANTER_RENEW_PERIOD                                                \
+  (650 * CC_MS) /* two lost renewals cost nothing */
 #define CC_GRANTER_MARGIN (250 * CC_MS)
 /* A holder that can't reach the table service renews what it granted before,
  * to the same upstreams under the same fence, for so long.  It outlasts an
  * outage of that length for all; the price is that who takes over from a holder
  * that fell silent moves keys of an upstream that it can't reach either only
  * this much later. */
-#define CC_GRANTER_BLIND (9 * CC_SECOND)
+#define CC_GRANTER_RENEWAL_LIMIT (9 * CC_SECOND)
 
 typedef struct
 {
@@ -48,8 +49,8 @@
                       was written, us */
 } CcGranterRow;
 
-void cc_granter_lease_seen (CcGranterLease *d, const CcGranterRow *row,
-                            gint64 now);
+void cc_granter_lease_row_read (CcGranterLease *d, const CcGranterRow *row,
+                                gint64 now);
 gboolean cc_granter_lease_may_claim (const CcGranterLease *d, gint64 now);
 void cc_granter_lease_confirmed (CcGranterLease *d, guint64 version,
                                  gint64 sent);
@@ -57,6 +58,6 @@
 gboolean cc_granter_lease_may_change (const CcGranterLease *d, gint64 now);
 gboolean cc_granter_lease_may_renew (const CcGranterLease *d, gint64 now);
 gint64 cc_granter_lease_predecessors_until (const CcGranterLease *d);
-gint64 cc_grant_ends (gint64 arrived);
+gint64 cc_grant_expiry (gint64 arrived);
 
 #endif
--- a/key_load.c
+++ b/key_load.c
@@ -55,17 +55,17 @@
 
   if (h->recent[bucket] >= RECENT_LEAST)
     recent = MAX (recent, around (h, bucket));
-  return MAX (per_second (h->count[bucket], CC_LOAD_TIME),
-              per_second (recent, CC_LOAD_RECENT));
+  return MAX (per_second (h->count[bucket], CC_LOAD_DECAY_TIME),
+              per_second (recent, CC_LOAD_RECENT_DECAY_TIME));
 }
 
 /* Fades all counts to NOW, us, and draws the rates from them. */
 void
-cc_key_load_fade (CcKeyLoad *h, gint64 now)
+cc_key_load_decay (CcKeyLoad *h, gint64 now)
 {
   double passed = h->faded_at == 0 ? 0.0 : (double) (now - h->faded_at);
-  double slow = exp (-passed / CC_LOAD_TIME);
-  double fast = exp (-passed / CC_LOAD_RECENT);
+  double slow = exp (-passed / CC_LOAD_DECAY_TIME);
+  double fast = exp (-passed / CC_LOAD_RECENT_DECAY_TIME);
 
   for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
     {
@@ -131,8 +131,8 @@
  * requests a second at most, where each key counts for PER_KEY more.  At least
  * one and not all. */
 guint
-cc_key_load_cut (const CcKeyLoad *h, guint from, guint to, gboolean at_head,
-                 double rate, double per_key)
+cc_key_load_split (const CcKeyLoad *h, guint from, guint to, gboolean at_head,
+                   double rate, double per_key)
 {
   guint low = 1, high = to - from; /* keys */
 
--- a/key_load.h
+++ b/key_load.h
@@ -14,25 +14,26 @@
 
 /* Rates fade with this time.  Shorter, chance looks like load: at 10 requests a
  * second an upstream's count of 2 s is off by a fifth. */
-#define CC_LOAD_TIME (2 * CC_SECOND)
+#define CC_LOAD_DECAY_TIME (2 * CC_SECOND)
 /* What came lately is counted for itself, faded with this time, and taken only
  * as far as chance does not explain it. */
-#define CC_LOAD_RECENT (600 * CC_MS)
+#define CC_LOAD_RECENT_DECAY_TIME (600 * CC_MS)
 
 typedef struct
 {
-  double count[CC_LOAD_BUCKETS];    /* requests, faded with CC_LOAD_TIME */
-  double recent[CC_LOAD_BUCKETS];   /* requests, faded with CC_LOAD_RECENT */
+  double count[CC_LOAD_BUCKETS];  /* requests, faded with CC_LOAD_DECAY_TIME */
+  double recent[CC_LOAD_BUCKETS]; /* requests, faded with
+                                     CC_LOAD_RECENT_DECAY_TIME */
   double sums[CC_LOAD_BUCKETS + 1]; /* requests a second for the keys below each
                                        bucket, as of the last fade */
   float keys[CC_LOAD_KEYS];         /* as COUNT, of each key */
   gint64 faded_at;                  /* us; 0: nothing counted yet */
 } CcKeyLoad;
 
-void cc_key_load_fade (CcKeyLoad *h, gint64 now);
+void cc_key_load_decay (CcKeyLoad *h, gint64 now);
 void cc_key_load_add (CcKeyLoad *h, guint key, double count);
 double cc_key_load_rate (const CcKeyLoad *h, guint from, guint to);
-guint cc_key_load_cut (const CcKeyLoad *h, guint from, guint to,
-                       gboolean at_head, double rate, double per_key);
+guint cc_key_load_split (const CcKeyLoad *h, guint from, guint to,
+                         gboolean at_head, double rate, double per_key);
 
 #endif
--- a/key_plan.c
+++ b/key_plan.c
@@ -163,9 +163,9 @@
 static CcKeyRange *
 cut (State *s, CcKeyRange *r, double load)
 {
-  return cut_off (
-      s, r,
-      cc_key_load_cut (s->plan->load, r->from, r->to, FALSE, load, s->per_key));
+  return cut_off (s, r,
+                  cc_key_load_split (s->plan->load, r->from, r->to, FALSE, load,
+                                     s->per_key));
 }
 
 static void
@@ -318,8 +318,8 @@
 cut_end (State *s, CcKeyRange *r, double amount)
 {
   const CcKeyLoad *h = s->plan->load;
-  guint tail = cc_key_load_cut (h, r->from, r->to, FALSE, amount, s->per_key);
-  guint head = cc_key_load_cut (h, r->from, r->to, TRUE, amount, s->per_key);
+  guint tail = cc_key_load_split (h, r->from, r->to, FALSE, amount, s->per_key);
+  guint head = cc_key_load_split (h, r->from, r->to, TRUE, amount, s->per_key);
   double most = PIECE_EXCESS * amount;
 
   if (cc_key_load_rate (h, r->to - tail + 1, r->to) <= most)
--- a/key_ranges.c
+++ b/key_ranges.c
@@ -177,7 +177,7 @@
  * Load pattern: in a large fleet hundreds of ranges are known to each process,
  * and some of them change several times a second. */
 void
-cc_key_ranges_take (CcKeyRanges *r, const CcRow *row)
+cc_key_ranges_apply_row (CcKeyRanges *r, const CcRow *row)
 {
   const char *slash = strrchr (row->key, '/');
   guint from =
@@ -206,7 +206,7 @@
 
   g_ptr_array_set_size (r->list, 0);
   for (guint i = 0; i < rows->len; i++)
-    cc_key_ranges_take (r, rows->pdata[i]);
+    cc_key_ranges_apply_row (r, rows->pdata[i]);
 }
 
 /* Keys that no row names go to the owner of those before them.
@@ -215,7 +215,7 @@
  * after the row of the lower part, and nobody was granted the upper one then:
  * it is still with whom it was cut from. */
 void
-cc_key_ranges_fill (CcKeyRanges *r)
+cc_key_ranges_fill_gaps (CcKeyRanges *r)
 {
   for (guint i = 0; i < r->list->len; i++)
     {
--- a/key_ranges.h
+++ b/key_ranges.h
@@ -40,9 +40,9 @@
 
 void cc_key_ranges_init (CcKeyRanges *r);
 void cc_key_ranges_clear (CcKeyRanges *r);
-void cc_key_ranges_take (CcKeyRanges *r, const CcRow *row);
+void cc_key_ranges_apply_row (CcKeyRanges *r, const CcRow *row);
 void cc_key_ranges_read (CcKeyRanges *r, const CcView *v, const char *pool);
-void cc_key_ranges_fill (CcKeyRanges *r);
+void cc_key_ranges_fill_gaps (CcKeyRanges *r);
 CcKeyRange *cc_key_ranges_find (const CcKeyRanges *r, guint key);
 guint64 cc_key_ranges_top_fence (const CcKeyRanges *r);
 
--- a/range_grant.c
+++ b/range_grant.c
@@ -70,7 +70,7 @@
  * another upstream is listed at its address, it has likely ended, and the
  * answer to the release proves it. */
 gboolean
-cc_range_grant_is_unsettled (const CcRangeGrant *x, gint64 now)
+cc_range_grant_is_unconfirmed (const CcRangeGrant *x, gint64 now)
 {
   return x->raised && now < x->owner_until && !seems_replaced (x);
 }
@@ -138,17 +138,17 @@
   x->moving = x->range->previous != NULL;
   if (x->moving)
     {
-      x->previous_until = cc_grant_ends (
+      x->previous_until = cc_grant_expiry (
           MAX (before->seen, before->others_until) + CALL_WITHIN);
       x->previous_doubt = x->previous_until;
       /* The row may have named another new owner before. */
       x->between_until = x->previous_until;
-      x->owner_until = cc_grant_ends (before->changes_until + CALL_WITHIN);
+      x->owner_until = cc_grant_expiry (before->changes_until + CALL_WITHIN);
       x->owner_doubt = x->owner_until;
       x->written = TRUE;
       return;
     }
-  x->owner_until = cc_grant_ends (before->renews_until + CALL_WITHIN);
+  x->owner_until = cc_grant_expiry (before->renews_until + CALL_WITHIN);
   x->owner_doubt = x->owner_until;
   x->dirty = TRUE;
   x->raised = TRUE;
@@ -211,7 +211,7 @@
               cc_event_int ((gint64) x->range->fence), NULL);
   if (x->raised)
     {
-      x->owner_until = cc_grant_ends (now);
+      x->owner_until = cc_grant_expiry (now);
       x->owner_doubt = x->unanswered;
     }
   x->raised = FALSE;
@@ -219,7 +219,7 @@
   x->answered = now;
   x->life_seen = MAX (x->call_began, r->connected_at);
   x->withheld = FALSE;
-  x->not_before = x->call_began + CC_GRANT_RENEW;
+  x->not_before = x->call_began + CC_GRANT_RENEW_PERIOD;
   if (x->range->previous != NULL)
     finish_move (x);
 }
@@ -252,7 +252,7 @@
   x->raised = FALSE;
   x->owner_until = 0;
   x->owner_doubt = 0;
-  x->not_before = now + CC_GRANT_RENEW;
+  x->not_before = now + CC_GRANT_RENEW_PERIOD;
   x->shared->replan = TRUE;
 }
 
@@ -275,7 +275,7 @@
       owner_ended (x, now);
       return;
     }
-  x->owner_until = MAX (x->owner_until, cc_grant_ends (now));
+  x->owner_until = MAX (x->owner_until, cc_grant_expiry (now));
   if (r->end == CC_HTTP_ANSWERED && r->status == 200)
     {
       granted (x, r, now);
@@ -287,7 +287,7 @@
       return;
     }
   x->not_before = now + CALL_RETRY;
-  x->unanswered = cc_grant_ends (now);
+  x->unanswered = cc_grant_expiry (now);
   x->owner_doubt = MAX (x->owner_doubt, x->unanswered);
   cc_event (CC_EVENT_STATE, "grant-unanswered", "pool", x->pool, "owner",
             x->range->owner, "from", cc_event_int (x->range->from), "why",
@@ -328,7 +328,7 @@
   /* From the moment of sending, the owner may have it. */
   x->until_before = x->owner_until;
   x->owner_until =
-      MAX (x->owner_until, cc_grant_ends (cc_clock_now () + CALL_WITHIN));
+      MAX (x->owner_until, cc_grant_expiry (cc_clock_now () + CALL_WITHIN));
   o.address = t->listing.address;
   o.head = whole;
   o.body = body;
--- a/range_grant.h
+++ b/range_grant.h
@@ -62,7 +62,7 @@
                                   CcKeyRanges *ranges, CcKeyRange *range);
 void cc_range_grant_free (gpointer grant);
 void cc_range_grant_step (CcRangeGrant *x);
-gboolean cc_range_grant_is_unsettled (const CcRangeGrant *x, gint64 now);
+gboolean cc_range_grant_is_unconfirmed (const CcRangeGrant *x, gint64 now);
 void cc_range_grant_owner_changed (CcRangeGrant *x, gint64 now);
 void cc_range_grant_inherit (CcRangeGrant *x, const CcRangeGrant *source,
                              gint64 now);
--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -873,8 +873,8 @@
   configure (p, 1);
   if (world.added_at != 0 && now >= world.added_at)
     world_add_pool (index);
-  cc_granter_rank (p->granter, world.weak ? 50 + index : 0,
-                   world.weak ? 90 : GRANTERS);
+  cc_granter_set_rank (p->granter, world.weak ? 50 + index : 0,
+                       world.weak ? 90 : GRANTERS);
   world_list_servers (p, now);
 }
 
--- a/test/test_grant_time.c
+++ b/test/test_grant_time.c
@@ -98,7 +98,7 @@
   p = cc_granted_pool_new (POOL, &shared);
   for (guint i = 0; i < RANGES; i++)
     add_range (p, 10 * i);
-  cc_clock_advance (CC_GRANTER_BLIND - CC_MS);
+  cc_clock_advance (CC_GRANTER_RENEWAL_LIMIT - CC_MS);
   calls.each_takes = 2 * CC_MS;
   cc_granted_pool_step (p, cc_clock_now ());
   assert_int_equal (calls.sent, 1);
--- a/test/test_granter.c
+++ b/test/test_granter.c
@@ -38,7 +38,7 @@
   (void) state;
   world_begin (1, 0.0);
   for (guint i = 0; i < GRANTERS; i++)
-    cc_granter_rank (world.processes[i].granter, 50 + i, 90);
+    cc_granter_set_rank (world.processes[i].granter, 50 + i, 90);
   for (guint i = 0; i < 250; i++)
     world_step (i);
   assert_true (world_share_held () > 0.9999);
@@ -66,7 +66,7 @@
       world.processes[i].alive = FALSE;
       world_start_process (i, cc_clock_now ());
     }
-  cc_granter_named (world.processes[held].granter);
+  cc_granter_named_in_table (world.processes[held].granter);
   for (guint i = 0; i < CC_SECOND / STEP; i++)
     world_step (600 + i);
   assert_string_equal (world.failure, "");
@@ -165,7 +165,7 @@
   g_random_set_seed (seed);
   world_begin (seed, 0.0);
   for (guint i = 0; i < GRANTERS; i++)
-    cc_granter_rank (world.processes[i].granter, 3 + i, 12);
+    cc_granter_set_rank (world.processes[i].granter, 3 + i, 12);
   for (guint i = 0; i < 600; i++)
     world_step (i);
   for (guint i = 0; i < GRANTERS; i++)
--- a/test/test_key_load.c
+++ b/test/test_key_load.c
@@ -64,17 +64,17 @@
 
   for (gint64 past = 0; past < 8 * CC_SECOND; past += PERIOD)
     {
-      cc_key_load_fade (h, now += PERIOD);
+      cc_key_load_decay (h, now += PERIOD);
       add (h, rand, c->all, 0, CC_LOAD_BUCKETS);
     }
   for (gint64 past = 0; past < c->after; past += PERIOD)
     {
-      cc_key_load_fade (h, now += PERIOD);
+      cc_key_load_decay (h, now += PERIOD);
       add (h, rand, c->all, 0, CC_LOAD_BUCKETS);
       if (c->busy > 0)
         add (h, rand, c->busy, 500, c->buckets);
     }
-  cc_key_load_fade (h, now);
+  cc_key_load_decay (h, now);
   if (c->busy == 0)
     return cc_key_load_rate (h, 0, 65535) / c->all;
   return cc_key_load_rate (h, 500 * CC_LOAD_BUCKET,
@@ -130,11 +130,11 @@
   for (guint k = 2000; k < 2016; k++)
     cc_key_load_add (h, k, k == 2005 ? 180 : 2.0 / 15);
   memset (h->recent, 0, sizeof h->recent);
-  cc_key_load_fade (h, 1);
+  cc_key_load_decay (h, 1);
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
     {
-      guint keys = cc_key_load_cut (h, table[i].from, table[i].to,
-                                    table[i].at_head, table[i].rate, 0);
+      guint keys = cc_key_load_split (h, table[i].from, table[i].to,
+                                      table[i].at_head, table[i].rate, 0);
 
       if (keys != table[i].keys)
         fail_msg ("case %u: %u keys", i, keys);
--- a/test/test_key_plan.c
+++ b/test/test_key_plan.c
@@ -171,7 +171,7 @@
           gboolean any = FALSE;
 
           disturb (&w, rand);
-          cc_key_load_fade (&w.load, now += CC_SECOND);
+          cc_key_load_decay (&w.load, now += CC_SECOND);
           plan (&w);
           for (guint i = 0; i < UPSTREAMS; i++)
             any |= w.all[i].up;
@@ -224,7 +224,7 @@
         add_bucket (w, b, 5.0 / CC_LOAD_BUCKETS);
       for (guint b = 0; b < 13; b++)
         add_bucket (w, place + b, 2.7 / 13);
-      cc_key_load_fade (&w->load, now);
+      cc_key_load_decay (&w->load, now);
     }
 }
 
@@ -244,7 +244,7 @@
       double by_number;
 
       world_init (&w);
-      cc_key_load_fade (&w.load, 1);
+      cc_key_load_decay (&w.load, 1);
       plan (&w);
       settle (&w);
       warm (&w, places[i]);
@@ -274,7 +274,7 @@
       double others = 0, beside = 0;
 
       world_init (&w);
-      cc_key_load_fade (&w.load, 1);
+      cc_key_load_decay (&w.load, 1);
       plan (&w);
       settle (&w);
       for (gint64 now = 1; now < 6 * CC_SECOND; now += 100 * CC_MS)
@@ -284,7 +284,7 @@
             add_bucket (&w, b, 5.0 / CC_LOAD_BUCKETS);
           for (guint b = 0; b < 13; b++)
             add_bucket (&w, 3000 + b, 2.7 / 13);
-          cc_key_load_fade (&w.load, now);
+          cc_key_load_decay (&w.load, now);
         }
       for (guint rounds = 0; rounds < 6; rounds++)
         {
@@ -324,13 +324,13 @@
       World w;
 
       world_init (&w);
-      cc_key_load_fade (&w.load, 1);
+      cc_key_load_decay (&w.load, 1);
       plan (&w);
       settle (&w);
       for (guint n = 0; n < 160; n++)
         cc_key_load_add (&w.load,
                          (guint) g_rand_int_range (rand, 0, CC_LOAD_KEYS), 1);
-      cc_key_load_fade (&w.load, 1);
+      cc_key_load_decay (&w.load, 1);
       plan (&w);
       changed += w.changed->len;
       world_clear (&w);
@@ -370,7 +370,7 @@
   world_init (&w);
   g_ptr_array_add (w.ranges.list, cc_key_range_new (0, 99, "u1", 0, 4));
   g_ptr_array_add (w.ranges.list, cc_key_range_new (200, 300, "u2", 0, 5));
-  cc_key_ranges_fill (&w.ranges);
+  cc_key_ranges_fill_gaps (&w.ranges);
   assert_true (covers_all (&w));
   assert_string_equal (cc_key_ranges_find (&w.ranges, 150)->owner, "u1");
   world_clear (&w);
@@ -411,8 +411,9 @@
         w.all[u].capacity = 10 * (0.6 + 0.4 * (u % 3));
       for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
         add_bucket (&w, b,
-                    c->load * 90 * CC_LOAD_TIME / CC_SECOND / CC_LOAD_BUCKETS);
-      cc_key_load_fade (&w.load, CC_SECOND);
+                    c->load * 90 * CC_LOAD_DECAY_TIME / CC_SECOND /
+                        CC_LOAD_BUCKETS);
+      cc_key_load_decay (&w.load, CC_SECOND);
       for (guint k = 0; k < 10; k++)
         {
           plan (&w);
--- a/test/test_key_ranges.c
+++ b/test/test_key_ranges.c
@@ -60,7 +60,7 @@
                         .value = gone ? NULL : value };
 
           m.to[place] = gone ? 0 : to;
-          cc_key_ranges_take (&r, &row);
+          cc_key_ranges_apply_row (&r, &row);
           for (guint k = 0; k < FROMS * WIDTH + 60; k++)
             {
               const CcKeyRange *one = cc_key_ranges_find (&r, k);
