--- a/granted_pool.c
+++ b/granted_pool.c
@@ -1,22 +1,24 @@
-/* Who may get keys is what the list of upstreams says; what may change is what
- * the grants have proved (range_grant.c); where load goes is key_plan.c's. */
+/* Connects planning and granting for one pool: builds the input of a plan
+ * (key_plan.c) from the list of upstreams, the load and the state of each grant
+ * (range_grant.c), and turns the planned changes into grants. */
 #include "granted_pool.h"
 
 #include "clock.h"
 #include "event_log.h"
 #include "key_plan.h"
 
-/* Changes of ranges that one plan makes. */
-#define PLAN_MAX 80
-/* A range that moved rests for a while, so that a move is judged by what it
- * changed. */
-#define RANGE_REST (2 * CC_SECOND)
-/* Work that takes less, us, is taken for this: a capacity must be finite. */
-#define WORK_LEAST 1000.0
-/* An owner that has not answered for so long counts as silent. */
+/* Largest number of ranges that one plan changes. */
+#define PLAN_MAX_CHANGES 80
+/* A range is not moved again for load within this time, so that the effect of a
+ * move is measured before the next one. */
+#define MOVE_COOLDOWN (2 * CC_SECOND)
+/* Lower bound of the work time of a request, us, which keeps capacities
+ * finite. */
+#define MIN_WORK 1000.0
+/* An owner without a response for this long counts as silent. */
 #define SILENT_AFTER (1800 * CC_MS)
 
-/* The pool NAME without ranges. */
+/* Creates the pool NAME without ranges. */
 CcGrantedPool *
 cc_granted_pool_new (const char *name, CcGrantShared *shared)
 {
@@ -41,7 +43,7 @@
   g_free (p);
 }
 
-/* P has no ranges any more; its load is still known. */
+/* Drops all ranges and grants of P, but not its load counts. */
 void
 cc_granted_pool_reset (CcGrantedPool *p)
 {
@@ -68,8 +70,8 @@
   return NULL;
 }
 
-/* Reads P's ranges from ROWS, a(sts) of key, version and value, which the
- * granter BEFORE has left. */
+/* Loads P's ranges from ROWS, a(sts) of key, version and value.  BEFORE limits
+ * what the previous granter may still do. */
 void
 cc_granted_pool_load (CcGrantedPool *p, GVariant *rows,
                       const CcPredecessor *before)
@@ -96,19 +98,19 @@
   p->loaded = TRUE;
 }
 
-/* Requests a second that T can serve. */
+/* Capacity of T, requests a second. */
 static double
-capacity_of (const CcPoolPlanning *how, const CcTarget *t)
+capacity_of (const CcPoolPlanning *params, const CcTarget *t)
 {
-  double work =
-      cc_work_rates_of (how->rates, t->listing.pool, t->listing.id, how->now);
+  double work = cc_work_rates_of (params->rates, t->listing.pool, t->listing.id,
+                                  params->now);
 
-  return MAX (t->listing.slots, 1) * 1e6 / MAX (work, WORK_LEAST);
+  return MAX (t->listing.slots, 1) * 1e6 / MAX (work, MIN_WORK);
 }
 
-/* The upstreams of P that may get keys. */
+/* Lists the upstreams of P that may be given keys. */
 static GArray *
-owners_of (const CcGrantedPool *p, const CcPoolPlanning *how)
+owners_of (const CcGrantedPool *p, const CcPoolPlanning *params)
 {
   GArray *owners = g_array_new (FALSE, TRUE, sizeof (CcKeyOwner));
   GPtrArray *all = cc_targets_of_pool (p->shared->targets, p->name);
@@ -118,7 +120,7 @@
       const CcTarget *t = all->pdata[i];
       CcKeyOwner o = { .id = t->listing.id,
                        .born = t->listing.born,
-                       .capacity = capacity_of (how, t) };
+                       .capacity = capacity_of (params, t) };
 
       if (t->state == CC_TARGET_READY)
         g_array_append_val (owners, o);
@@ -126,8 +128,8 @@
   return owners;
 }
 
-/* The grant from which the range of a new one was cut: that of the keys before
- * it. */
+/* Returns the grant that RANGE was split from: the one of the keys directly
+ * before it. */
 static CcRangeGrant *
 source_of (const CcGrantedPool *p, const CcKeyRange *range)
 {
@@ -145,35 +147,35 @@
 }
 
 static gboolean
-is_for (const CcRangeGrant *x, const char *owner, guint64 born)
+has_owner (const CcRangeGrant *x, const char *owner, guint64 born)
 {
   return g_strcmp0 (x->range->owner, owner) == 0 && x->range->born == born;
 }
 
-/* What was known of each grant's owner before a plan. */
+/* Owner of a grant before a plan. */
 typedef struct
 {
   CcRangeGrant *grant;
   char *owner;
   guint64 born;
-} Before;
+} OldOwner;
 
 static void
-before_clear (gpointer data)
+old_owner_clear (gpointer data)
 {
-  g_free (((Before *) data)->owner);
+  g_free (((OldOwner *) data)->owner);
 }
 
 static GArray *
-note_before (const CcGrantedPool *p)
+save_owners (const CcGrantedPool *p)
 {
-  GArray *list = g_array_new (FALSE, FALSE, sizeof (Before));
+  GArray *list = g_array_new (FALSE, FALSE, sizeof (OldOwner));
 
-  g_array_set_clear_func (list, before_clear);
+  g_array_set_clear_func (list, old_owner_clear);
   for (guint i = 0; i < p->grants->len; i++)
     {
       CcRangeGrant *x = p->grants->pdata[i];
-      Before b = { x, g_strdup (x->range->owner), x->range->born };
+      OldOwner b = { x, g_strdup (x->range->owner), x->range->born };
 
       g_array_append_val (list, b);
     }
@@ -190,9 +192,9 @@
             cc_event_int ((gint64) p->shared->lease.version), NULL);
 }
 
-/* Ranges that a plan cut from others get grants of their own.  That goes before
- * any change of owners: what may be held of the new range is what could be held
- * of the one that it was cut from before the plan. */
+/* Creates grants for the ranges that a plan split from others.  This comes
+ * before any owner is changed, since a new range inherits what could be held of
+ * its source before the plan. */
 static void
 add_grants (CcGrantedPool *p, const GPtrArray *changed)
 {
@@ -217,9 +219,9 @@
 
   for (guint i = 0; i < before->len; i++)
     {
-      const Before *b = &g_array_index (before, Before, i);
+      const OldOwner *b = &g_array_index (before, OldOwner, i);
 
-      if (b->grant == x && !is_for (x, b->owner, b->born))
+      if (b->grant == x && !has_owner (x, b->owner, b->born))
         cc_range_grant_owner_changed (x, cc_clock_now ());
     }
   x->moving = r->previous != NULL;
@@ -228,44 +230,47 @@
   log_move (p, r);
 }
 
-/* Plans P's keys anew, as HOW says.  Returns how many ranges have changed;
- * another plan is due at once if they are as many as one may change. */
+/* Plans the owners of P's keys with PARAMS.  Returns the number of ranges that
+ * changed.  If that is the largest number allowed, another plan is
+ * requested. */
 guint
-cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *how)
+cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *params)
 {
-  g_autoptr (GArray) owners = owners_of (p, how);
+  g_autoptr (GArray) owners = owners_of (p, params);
   g_autoptr (GPtrArray) changed = g_ptr_array_new ();
-  g_autoptr (GArray) before = note_before (p);
+  g_autoptr (GArray) before = save_owners (p);
   CcKeyPlan plan = { .ranges = &p->ranges,
                      .owners = owners,
                      .load = &p->load,
-                     .limit = PLAN_MAX,
-                     .rebalance = how->rebalance,
+                     .limit = PLAN_MAX_CHANGES,
+                     .rebalance = params->rebalance,
                      .changed = changed };
 
-  cc_key_load_decay (&p->load, how->now);
+  cc_key_load_decay (&p->load, params->now);
   for (guint i = 0; i < p->grants->len; i++)
     {
       CcRangeGrant *x = p->grants->pdata[i];
 
-      x->range->rests = !x->held || how->now - x->moved_at < RANGE_REST;
-      /* The answer of a call in progress is about the owner and the keys that
-       * it was sent for.  Taken for another's, it let a new owner begin while
-       * the old one still held the keys; and a renewal that overtakes a release
-       * gives the keys back to who had released them. */
-      x->range->busy =
-          x->calling || cc_range_grant_is_unconfirmed (x, how->now);
+      x->range->settling =
+          !x->held || params->now - x->moved_at < MOVE_COOLDOWN;
+      /* The response to a call in progress applies to the owner and the keys
+       * that were sent with it.  If the range changed meanwhile, a new owner
+       * could begin while the old one still holds the keys, and a renewal that
+       * overtakes a release would give the keys back to an owner that has
+       * released them. */
+      x->range->locked =
+          x->call_pending || cc_range_grant_is_unconfirmed (x, params->now);
     }
   cc_key_plan (&plan);
   add_grants (p, changed);
   for (guint i = 0; i < changed->len; i++)
     apply_change (p, changed->pdata[i], before);
-  p->shared->replan |= changed->len >= PLAN_MAX;
+  p->shared->replan |= changed->len >= PLAN_MAX_CHANGES;
   return changed->len;
 }
 
-/* Does what is due for each range at NOW.  Returns how many owners have been
- * silent for a while. */
+/* Advances all grants of P at NOW, us.  Returns the number of owners that have
+ * been silent for a while. */
 guint
 cc_granted_pool_step (CcGrantedPool *p, gint64 now)
 {
@@ -276,13 +281,14 @@
       CcRangeGrant *x = p->grants->pdata[i];
 
       cc_range_grant_step (x);
-      silent +=
-          x->answered != 0 && !x->withheld && now - x->answered > SILENT_AFTER;
+      silent += x->answered_at != 0 && !x->withheld &&
+                now - x->answered_at > SILENT_AFTER;
     }
   return silent;
 }
 
-/* Adds the grants whose rows are to be written to DIRTY, up to MOST there. */
+/* Appends to DIRTY the grants whose rows have to be written, until it has
+ * MOST. */
 void
 cc_granted_pool_add_dirty (const CcGrantedPool *p, guint most, GPtrArray *dirty)
 {
--- a/granted_pool.h
+++ b/granted_pool.h
@@ -1,4 +1,5 @@
-/* One pool's keys in the process that grants them: ranges, grants and load. */
+/* The keys of one pool in the process that grants them: ranges, grants and
+ * load. */
 #ifndef CC_GRANTED_POOL_H
 #define CC_GRANTED_POOL_H
 
@@ -9,18 +10,18 @@
 typedef struct
 {
   char *name;
-  CcGrantShared *shared; /* of all pools */
+  CcGrantShared *shared; /* shared by all pools */
   CcKeyRanges ranges;
   GPtrArray *grants; /* of CcRangeGrant, one for each range */
   gboolean loaded;   /* the rows of the ranges were read under this lease */
   CcKeyLoad load;
 } CcGrantedPool;
 
-/* How a plan is made. */
+/* Parameters of a plan. */
 typedef struct
 {
-  const CcWorkRates *rates; /* of upstreams */
-  gboolean rebalance;       /* load may be moved */
+  const CcWorkRates *rates; /* work times of upstreams */
+  gboolean rebalance;       /* ranges may be moved to balance load */
   gint64 now;               /* us */
 } CcPoolPlanning;
 
@@ -29,7 +30,7 @@
 void cc_granted_pool_reset (CcGrantedPool *p);
 void cc_granted_pool_load (CcGrantedPool *p, GVariant *rows,
                            const CcPredecessor *before);
-guint cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *how);
+guint cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *params);
 guint cc_granted_pool_step (CcGrantedPool *p, gint64 now);
 void cc_granted_pool_add_dirty (const CcGrantedPool *p, guint most,
                                 GPtrArray *dirty);
--- a/granter.c
+++ b/granter.c
@@ -502,7 +502,7 @@
 {
   CcGranter *g = data;
   gint64 now = cc_clock_now ();
-  CcPredecessor before = { .seen = g->predecessor_renewed_at,
+  CcPredecessor before = { .renewed_at = g->predecessor_renewed_at,
                            .changes_until =
                                g->predecessor_renewed_at + CC_GRANTER_TERM,
                            .renews_until = MAX (g->predecessors_until, now),
--- a/key_plan.c
+++ b/key_plan.c
@@ -224,7 +224,7 @@
 
       if (find_owner (s, r->owner, r->born) != NULL)
         continue;
-      if (r->busy)
+      if (r->locked)
         {
           s->plan->skipped = TRUE;
           continue;
@@ -241,7 +241,7 @@
 static gboolean
 stays (const CcKeyRange *r)
 {
-  return r->previous != NULL || r->rests || r->busy;
+  return r->previous != NULL || r->settling || r->locked;
 }
 
 /* The range of the busiest owners but NEWCOMER that has the most load and may
--- a/key_ranges.h
+++ b/key_ranges.h
@@ -19,8 +19,9 @@
   guint64 version; /* of the row; 0: not written yet */
   guint row_to;    /* the last key by the row; TO may be less */
   /* Not in the row: */
-  gboolean rests; /* moved lately, not to be moved for load */
-  gboolean busy;  /* a call about it is in progress, not to be changed at all */
+  gboolean settling; /* moved lately, not to be moved for load */
+  gboolean
+      locked; /* a call about it is in progress, not to be changed at all */
 } CcKeyRange;
 
 /* The ranges of one pool, in order of keys, without overlap. */
--- a/range_grant.c
+++ b/range_grant.c
@@ -1,27 +1,31 @@
-/* A range is granted to its owner again and again, and moves when its previous
- * owner has stopped for sure: it answered a release, or its last grant must
- * have ended.  Each way in which a call can end says something else about who
- * may hold the keys until when; granter.c tells why that is enough. */
+/* Grants one range of keys to its owner, renews the grant, and moves the range
+ * to another owner.  A new owner is granted the keys only after every earlier
+ * one has provably stopped: it answered a release, its last grant has expired,
+ * or another process answers at its address.  Calls can be lost or carried out
+ * late, so each outcome of a call limits in its own way until when an owner may
+ * hold the keys; the fields ..._until of CcRangeGrant keep these limits.
+ * granter.c describes the rules. */
 #include "range_grant.h"
 
 #include "clock.h"
 #include "event_log.h"
 
-/* A connection within a region stands after 3 ms, an answer is there after 10;
- * a renewal that is given up after these can be tried twice more in a hold. */
-#define CALL_CONNECT (300 * CC_MS)
-#define CALL_WITHIN (800 * CC_MS)
-/* A release is answered when the work on the keys has ended: the longest of
- * today takes 1.7 s. */
-#define RELEASE_WITHIN (3500 * CC_MS)
-/* Kept connections older than the last renewal may be cut off without anybody
- * knowing.  When TCP itself gives such a one up, a grant that was written to it
- * may still arrive later; a call that is given up here, on a connection that
- * was alive a moment ago, is reset in time. */
-#define CALL_IDLE (1500 * CC_MS)
-#define CALL_RETRY (150 * CC_MS) /* pause after a call without answer */
-
-/* A grant of RANGE, one of RANGES, of POOL. */
+/* Within a region a connection is opened in 3 ms and a response arrives after
+ * 10 ms.  With these timeouts a renewal can be repeated twice within
+ * CC_GRANT_HOLD. */
+#define CONNECT_TIMEOUT (300 * CC_MS)
+#define CALL_TIMEOUT (800 * CC_MS)
+/* A release is answered after the requests on the keys have finished, which
+ * takes up to 1.7 s. */
+#define RELEASE_TIMEOUT (3500 * CC_MS)
+/* Idle connections are reused only for this long.  An older one may have been
+ * cut off unnoticed, and a grant that was written to it may still arrive after
+ * the call has timed out, when TCP retransmits it.  On a connection that worked
+ * a moment ago a timed-out call is reset in time. */
+#define CONNECTION_IDLE_MAX (1500 * CC_MS)
+#define CALL_RETRY (150 * CC_MS) /* pause after a call without a response */
+
+/* Creates the grant of RANGE, which is one of RANGES, of POOL. */
 CcRangeGrant *
 cc_range_grant_new (CcGrantShared *shared, const char *pool,
                     CcKeyRanges *ranges, CcKeyRange *range)
@@ -35,15 +39,15 @@
   return x;
 }
 
-/* Frees a CcRangeGrant, or lets its call in progress do so. */
+/* Frees a CcRangeGrant, at the end of its pending call if there is one. */
 void
 cc_range_grant_free (gpointer grant)
 {
   CcRangeGrant *x = grant;
 
-  if (x->calling)
+  if (x->call_pending)
     {
-      x->dead = TRUE;
+      x->freed = TRUE;
       return;
     }
   g_free (x->pool);
@@ -51,86 +55,90 @@
   g_free (x);
 }
 
-/* Whether another upstream is listed at the address of X's owner, which is
- * listed no more. */
+/* Whether X's owner is not listed and another upstream is listed at its
+ * address. */
 static gboolean
-seems_replaced (const CcRangeGrant *x)
+is_replaced (const CcRangeGrant *x)
 {
   const CcTarget *t = cc_targets_find (x->shared->targets, x->range->owner);
 
   return t != NULL && cc_targets_is_replaced (x->shared->targets, t);
 }
 
-/* Whether the granter of before may still renew X's grant and its owner has not
- * shut it out.  To move the range would only mean to wait for the end of that,
- * and the owner may be back before.
+/* Whether the previous granter may still renew X's grant, since the owner has
+ * not yet confirmed the higher fence.  The range is not moved then: the new
+ * owner would have to wait for the expiry of such a renewal, and the present
+ * owner may respond before.  Otherwise an owner that is lost while the granter
+ * changes leaves its keys without an owner for 13 s.
  *
- * Failure: an owner is lost in the seconds in which the granter changes.
- * Symptom: callers get no owner for its keys for thirteen seconds.  But if
- * another upstream is listed at its address, it has likely ended, and the
- * answer to the release proves it. */
+ * If another upstream is listed at the owner's address, the owner has probably
+ * terminated.  The range is moved then, since the response to the release
+ * proves it. */
 gboolean
 cc_range_grant_is_unconfirmed (const CcRangeGrant *x, gint64 now)
 {
-  return x->raised && now < x->owner_until && !seems_replaced (x);
+  return x->fence_raised && now < x->owner_until && !is_replaced (x);
 }
 
-/* X's range went to another owner at NOW.
+/* Updates X after its range was given to another owner at NOW, us.
  *
- * Failure: the owner that a move had for a moment was sent a grant that is
- * carried out late; then the previous owner proves to have ended, and that is
- * taken for both.  Symptom: the next one is granted the keys at once, and the
- * late grant has a fence below its own.  Nobody keeps the name of the one in
- * between, so the end of its grants is waited for whatever becomes of the
- * previous one. */
+ * If a move is replaced before it has finished, the owner in between may have
+ * been sent a grant that is carried out late, with a fence below that of the
+ * next owner.  That the previous owner has terminated proves nothing about the
+ * one in between, and no row names it, so the expiry of its grants is waited
+ * for in any case.  Otherwise two upstreams could hold the same keys. */
 void
 cc_range_grant_owner_changed (CcRangeGrant *x, gint64 now)
 {
   if (x->moving)
-    x->between_until = MAX (x->between_until, x->owner_until);
+    x->replaced_until = MAX (x->replaced_until, x->owner_until);
   else
     {
-      /* An owner that was started again is its own previous one, so what may be
-       * held from before stays. */
+      /* A restarted owner is its own previous owner, so limits from before are
+       * kept. */
       x->previous_until = MAX (x->previous_until, x->owner_until);
-      x->previous_doubt = MAX (x->previous_doubt, x->owner_doubt);
+      x->previous_uncertain_until =
+          MAX (x->previous_uncertain_until, x->owner_uncertain_until);
       x->released = FALSE;
     }
   g_clear_pointer (&x->handoff, g_free);
   x->owner_until = 0;
-  x->owner_doubt = 0;
+  x->owner_uncertain_until = 0;
   x->held = FALSE;
   x->not_before = 0;
   x->moved_at = now;
 }
 
-/* X's range was cut from SOURCE's at NOW: what may be held of the one may be
- * held of the other.  Nothing is granted before its own row is written.
+/* X's range was split from SOURCE's at NOW, us: whoever may hold the keys of
+ * SOURCE may hold those of X.  Nothing is granted before X's own row is
+ * written.
  *
- * Failure: the rest of a range is renewed for its owner while the rows give all
- * of it to another, and the granter is lost.  Symptom: whoever takes over goes
- * by the rows, and two upstreams hold the rest. */
+ * Otherwise the remaining part of a range could be renewed for its owner while
+ * the rows give the whole range to another.  If the granter is lost then, its
+ * successor follows the rows, and two upstreams hold that part. */
 void
 cc_range_grant_inherit (CcRangeGrant *x, const CcRangeGrant *source, gint64 now)
 {
   x->previous_until = MAX (source->owner_until, source->previous_until);
-  x->previous_doubt = MAX (source->owner_doubt, source->previous_doubt);
-  x->between_until = source->moving
-                         ? MAX (source->between_until, source->owner_until)
-                         : source->between_until;
+  x->previous_uncertain_until =
+      MAX (source->owner_uncertain_until, source->previous_uncertain_until);
+  x->replaced_until = source->moving
+                          ? MAX (source->replaced_until, source->owner_until)
+                          : source->replaced_until;
   x->owner_until = source->owner_until;
-  x->owner_doubt = source->owner_doubt;
+  x->owner_uncertain_until = source->owner_uncertain_until;
   x->moving = source->moving;
   x->moved_at = now;
 }
 
-/* X's range was read from its row by a new granter.  It gets a fence above
- * *FENCE; BEFORE is what the granter before may still do.
+/* Initialises X for a range that a new granter has read from its row.  The
+ * fence of a range that is not moving is raised above *FENCE.  BEFORE limits
+ * what the previous granter may still do.
  *
- * That one renews without the table only what its rows say as well.  So of a
- * range in the middle of a move, the previous owner got its last grant of it
- * before the move was written, and the new one before the granter's term was
- * over.  Granters before that one may know nothing of the move. */
+ * Without the table, the previous granter renews only what the rows contain as
+ * well.  So for a range that is moving, its last grant to the previous owner
+ * was sent before the move was written, and its last grant to the new owner
+ * before its term was over.  Earlier granters may not know of the move. */
 void
 cc_range_grant_load (CcRangeGrant *x, guint64 *fence,
                      const CcPredecessor *before)
@@ -139,46 +147,46 @@
   if (x->moving)
     {
       x->previous_until = cc_grant_expiry (
-          MAX (before->seen, before->predecessors_until) + CALL_WITHIN);
-      x->previous_doubt = x->previous_until;
-      /* The row may have named another new owner before. */
-      x->between_until = x->previous_until;
-      x->owner_until = cc_grant_expiry (before->changes_until + CALL_WITHIN);
-      x->owner_doubt = x->owner_until;
+          MAX (before->renewed_at, before->predecessors_until) + CALL_TIMEOUT);
+      x->previous_uncertain_until = x->previous_until;
+      /* An earlier version of the row may have named another new owner. */
+      x->replaced_until = x->previous_until;
+      x->owner_until = cc_grant_expiry (before->changes_until + CALL_TIMEOUT);
+      x->owner_uncertain_until = x->owner_until;
       x->written = TRUE;
       return;
     }
-  x->owner_until = cc_grant_expiry (before->renews_until + CALL_WITHIN);
-  x->owner_doubt = x->owner_until;
+  x->owner_until = cc_grant_expiry (before->renews_until + CALL_TIMEOUT);
+  x->owner_uncertain_until = x->owner_until;
   x->dirty = TRUE;
-  x->raised = TRUE;
+  x->fence_raised = TRUE;
   x->range->fence = ++*fence;
 }
 
 static char *
-with_host (const char *head, const char *address)
+add_host_header (const char *headers, const char *address)
 {
-  return g_strdup_printf ("%sHost: %s\r\n", head, address);
+  return g_strdup_printf ("%sHost: %s\r\n", headers, address);
 }
 
 static gboolean
-call_upstream (CcRangeGrant *x, CcHttpOrder *o, CcHttpDone done)
+call_upstream (CcRangeGrant *x, CcHttpOrder *request, CcHttpDone done)
 {
-  o->connect_within = CALL_CONNECT;
-  o->idle_max = CALL_IDLE;
-  x->call_began = cc_clock_now ();
-  x->calling = cc_http_send (x->shared->http, o, done, x) != NULL;
-  if (!x->calling)
-    x->not_before = x->call_began + CALL_RETRY;
-  return x->calling;
+  request->connect_within = CONNECT_TIMEOUT;
+  request->idle_max = CONNECTION_IDLE_MAX;
+  x->call_started_at = cc_clock_now ();
+  x->call_pending = cc_http_send (x->shared->http, request, done, x) != NULL;
+  if (!x->call_pending)
+    x->not_before = x->call_started_at + CALL_RETRY;
+  return x->call_pending;
 }
 
-/* Returns FALSE if X is gone. */
+/* Ends the pending call of X.  Returns FALSE if X was freed by its pool. */
 static gboolean
-call_returned (CcRangeGrant *x)
+finish_call (CcRangeGrant *x)
 {
-  x->calling = FALSE;
-  if (!x->dead)
+  x->call_pending = FALSE;
+  if (!x->freed)
     return TRUE;
   cc_range_grant_free (x);
   return FALSE;
@@ -202,32 +210,32 @@
 }
 
 static void
-granted (CcRangeGrant *x, const CcHttpResult *r, gint64 now)
+on_grant_accepted (CcRangeGrant *x, const CcHttpResult *r, gint64 now)
 {
   if (!x->held)
     cc_event (CC_EVENT_STATE, "keys-granted", "pool", x->pool, "from",
               cc_event_int (x->range->from), "to", cc_event_int (x->range->to),
               "owner", x->range->owner, "fence",
               cc_event_int ((gint64) x->range->fence), NULL);
-  if (x->raised)
+  if (x->fence_raised)
     {
       x->owner_until = cc_grant_expiry (now);
-      x->owner_doubt = x->unanswered;
+      x->owner_uncertain_until = x->unanswered_until;
     }
-  x->raised = FALSE;
+  x->fence_raised = FALSE;
   x->held = TRUE;
-  x->answered = now;
-  x->life_seen = MAX (x->call_began, r->connected_at);
+  x->answered_at = now;
+  x->same_process_at = MAX (x->call_started_at, r->connected_at);
   x->withheld = FALSE;
-  x->not_before = x->call_began + CC_GRANT_RENEW_PERIOD;
+  x->not_before = x->call_started_at + CC_GRANT_RENEW_PERIOD;
   if (x->range->previous != NULL)
     finish_move (x);
 }
 
-/* The upstream has seen a higher fence: of this process's own making if it
- * holds the lease, or of who took it over. */
+/* The upstream has accepted a higher fence, from this process if it holds the
+ * lease, otherwise from its successor. */
 static void
-fence_refused (CcRangeGrant *x, gint64 now)
+on_fence_rejected (CcRangeGrant *x, gint64 now)
 {
   cc_event (CC_EVENT_STATE, "grant-refused", "pool", x->pool, "from",
             cc_event_int (x->range->from), "owner", x->range->owner, "fence",
@@ -241,17 +249,17 @@
   x->written = FALSE;
 }
 
-/* The owner's address is another's: it has ended, and what anybody granted it
- * has ended with it. */
+/* Another process answers at the owner's address: the owner has terminated, and
+ * with it all grants that it had, by any granter. */
 static void
-owner_ended (CcRangeGrant *x, gint64 now)
+on_owner_terminated (CcRangeGrant *x, gint64 now)
 {
   cc_event (CC_EVENT_STATE, "owner-ended", "pool", x->pool, "owner",
             x->range->owner, "from", cc_event_int (x->range->from), NULL);
   x->held = FALSE;
-  x->raised = FALSE;
+  x->fence_raised = FALSE;
   x->owner_until = 0;
-  x->owner_doubt = 0;
+  x->owner_uncertain_until = 0;
   x->not_before = now + CC_GRANT_RENEW_PERIOD;
   x->shared->replan = TRUE;
 }
@@ -262,40 +270,41 @@
   CcRangeGrant *x = data;
   gint64 now = cc_clock_now ();
 
-  if (!call_returned (x))
+  if (!finish_call (x))
     return;
   if (r->end == CC_HTTP_UNSENT)
     {
-      x->owner_until = x->until_before;
+      x->owner_until = x->owner_until_before;
       x->not_before = now + CALL_RETRY;
       return;
     }
   if (cc_edge_is_other_server (r))
     {
-      owner_ended (x, now);
+      on_owner_terminated (x, now);
       return;
     }
   x->owner_until = MAX (x->owner_until, cc_grant_expiry (now));
   if (r->end == CC_HTTP_ANSWERED && r->status == 200)
     {
-      granted (x, r, now);
+      on_grant_accepted (x, r, now);
       return;
     }
   if (r->end == CC_HTTP_ANSWERED && r->status == 409)
     {
-      fence_refused (x, now);
+      on_fence_rejected (x, now);
       return;
     }
   x->not_before = now + CALL_RETRY;
-  x->unanswered = cc_grant_expiry (now);
-  x->owner_doubt = MAX (x->owner_doubt, x->unanswered);
+  x->unanswered_until = cc_grant_expiry (now);
+  x->owner_uncertain_until =
+      MAX (x->owner_uncertain_until, x->unanswered_until);
   cc_event (CC_EVENT_STATE, "grant-unanswered", "pool", x->pool, "owner",
             x->range->owner, "from", cc_event_int (x->range->from), "why",
             r->why, "status", cc_event_int (r->status), NULL);
 }
 
 static void
-note_withheld (CcRangeGrant *x)
+log_withheld (CcRangeGrant *x)
 {
   if (!x->withheld)
     cc_event (CC_EVENT_STATE, "renewal-withheld", "pool", x->pool, "owner",
@@ -304,44 +313,44 @@
 }
 
 /* Sends X's grant to its owner, on a connection that was open at CONNECTED_BY,
- * us; 0: on any. */
+ * us, or on any connection if that is 0. */
 static void
 send_grant (CcRangeGrant *x, gint64 connected_by)
 {
   const CcTarget *t = cc_targets_find (x->shared->targets, x->range->owner);
   CcKeyGrant what = { x->range->owner, x->range->from, x->range->to,
                       x->range->fence, CC_GRANT_HOLD,  x->handoff };
-  CcHttpOrder o = { .answer_within = CALL_WITHIN,
-                    .connected_by = connected_by };
+  CcHttpOrder request = { .answer_within = CALL_TIMEOUT,
+                          .connected_by = connected_by };
   g_autoptr (GBytes) body = NULL;
-  g_autofree char *head = NULL;
-  g_autofree char *whole = NULL;
+  g_autofree char *headers = NULL;
+  g_autofree char *message = NULL;
 
   if (t == NULL || t->listing.born != x->range->born)
     return;
-  /* Each grant to one that has left and does not answer would put off the time
-   * at which its keys may go to another. */
-  if (t->state == CC_TARGET_GONE && !x->held && x->unanswered != 0)
+  /* Another grant to an upstream that was removed and does not respond would
+   * extend the time until its keys may be moved. */
+  if (t->state == CC_TARGET_GONE && !x->held && x->unanswered_until != 0)
     return;
-  head = cc_edge_grant_head (&what, &body);
-  whole = with_host (head, t->listing.address);
-  /* From the moment of sending, the owner may have it. */
-  x->until_before = x->owner_until;
+  headers = cc_edge_grant_head (&what, &body);
+  message = add_host_header (headers, t->listing.address);
+  /* From now on the owner may hold the grant. */
+  x->owner_until_before = x->owner_until;
   x->owner_until =
-      MAX (x->owner_until, cc_grant_expiry (cc_clock_now () + CALL_WITHIN));
-  o.address = t->listing.address;
-  o.head = whole;
-  o.body = body;
+      MAX (x->owner_until, cc_grant_expiry (cc_clock_now () + CALL_TIMEOUT));
+  request.address = t->listing.address;
+  request.head = message;
+  request.body = body;
   x->withheld &= connected_by > 0;
-  if (call_upstream (x, &o, on_granted))
+  if (call_upstream (x, &request, on_granted))
     return;
-  x->owner_until = x->until_before;
+  x->owner_until = x->owner_until_before;
   if (connected_by > 0)
-    note_withheld (x);
+    log_withheld (x);
 }
 
 static void
-released (CcRangeGrant *x, const char *handoff)
+on_release_accepted (CcRangeGrant *x, const char *handoff)
 {
   x->released = TRUE;
   x->not_before = 0;
@@ -354,16 +363,17 @@
 {
   CcRangeGrant *x = data;
 
-  if (!call_returned (x))
+  if (!finish_call (x))
     return;
   x->not_before = cc_clock_now () + CALL_RETRY;
   if (cc_edge_is_other_server (r))
     {
-      /* Its address is another's: it has ended, and what anybody granted it has
-       * ended with it.  Only the one that answers there proves that: a row of
-       * the list may be an old one that was written late. */
-      x->previous_until = x->previous_doubt = 0;
-      released (x, NULL);
+      /* Another process answers at its address: the previous owner has
+       * terminated, and with it all grants that it had.  Only such a response
+       * proves that; a row of the list may be an old one that was written
+       * late. */
+      x->previous_until = x->previous_uncertain_until = 0;
+      on_release_accepted (x, NULL);
       return;
     }
   if (r->end != CC_HTTP_ANSWERED || r->status != 200)
@@ -374,7 +384,7 @@
                 cc_event_int (r->status), NULL);
       return;
     }
-  released (x, cc_edge_handoff (r));
+  on_release_accepted (x, cc_edge_handoff (r));
 }
 
 static void
@@ -385,35 +395,36 @@
                       .to = x->range->to,
                       .fence = x->range->previous_fence };
   g_autoptr (GBytes) body = NULL;
-  g_autofree char *head = cc_edge_release_head (&what, &body);
-  g_autofree char *whole = with_host (head, t->listing.address);
-  CcHttpOrder o = { .address = t->listing.address,
-                    .head = whole,
-                    .body = body,
-                    .answer_within = RELEASE_WITHIN };
-
-  call_upstream (x, &o, on_released);
+  g_autofree char *headers = cc_edge_release_head (&what, &body);
+  g_autofree char *message = add_host_header (headers, t->listing.address);
+  CcHttpOrder request = { .address = t->listing.address,
+                          .head = message,
+                          .body = body,
+                          .answer_within = RELEASE_TIMEOUT };
+
+  call_upstream (x, &request, on_released);
 }
 
-/* Whether all owners of X's range before the present one have stopped for
- * sure. */
+/* Whether every earlier owner of X's range has provably stopped at NOW, us. */
 static gboolean
-previous_stopped (const CcRangeGrant *x, gint64 now)
+earlier_owners_stopped (const CcRangeGrant *x, gint64 now)
 {
-  /* That it has started again since is no proof: a grant may have reached the
-   * new life before its entry told of that.  It answers a release at once. */
-  return now >= x->between_until &&
-         (now >= MAX (x->previous_until, x->previous_doubt) ||
-          (x->released && now >= x->previous_doubt));
+  /* A restart of the previous owner proves nothing: the new process may have
+   * received a grant before its entry reported the restart.  It answers a
+   * release at once. */
+  return now >= x->replaced_until &&
+         (now >= MAX (x->previous_until, x->previous_uncertain_until) ||
+          (x->released && now >= x->previous_uncertain_until));
 }
 
-/* A move waits for the previous owner, then for the new one. */
+/* Advances a move: releases the previous owner, then grants the range to the
+ * new one. */
 static void
 step_move (CcRangeGrant *x, gint64 now)
 {
   const CcTarget *t;
 
-  if (previous_stopped (x, now))
+  if (earlier_owners_stopped (x, now))
     {
       send_grant (x, 0);
       return;
@@ -423,33 +434,35 @@
     send_release (x, t);
 }
 
-/* Does what is due for X.
+/* Advances X: sends the grant, its renewal or the release that is due.
  *
- * Failure: a slowed process plans for long, or sends many grants, and goes by
- * the time at which it began.  Symptom: a grant leaves after the lease has
- * ended, when whoever took over counts on none. */
+ * It reads the clock itself.  A slow process may spend long on planning or on
+ * many grants, and with the time at which its step began it would send a grant
+ * after its lease has expired, when its successor expects none. */
 void
 cc_range_grant_step (CcRangeGrant *x)
 {
   gint64 now = cc_clock_now ();
 
-  if (x->calling || now < x->not_before)
+  if (x->call_pending || now < x->not_before)
     return;
-  /* A process that stood still may find its lease long over here, before it
-   * polls the lease itself. */
+  /* A process that was paused may find here that its lease has expired long
+   * ago, before it reads the lease's row. */
   if (!cc_granter_lease_may_renew (&x->shared->lease, now))
     return;
-  /* Who takes over goes by the rows: a move that is finished here and not yet
-   * there is none.
+  /* Only grants that agree with the rows are renewed, since a successor relies
+   * on the rows: a move that has finished but is not written counts as
+   * unfinished.
    *
-   * Failure: the owner took the higher fence of who has taken over, was started
-   * again under its id and has forgotten it.  Symptom: it takes a renewal while
-   * its keys are another's.  A connection that was open when it took the last
-   * grant leads to the life that remembers. */
+   * The renewal needs a connection that was open when the owner accepted its
+   * last grant, which proves that the same process receives it.  A restarted
+   * owner has the same id but does not remember the higher fence of a
+   * successor, and would accept the renewal while its keys belong to
+   * another. */
   if (!cc_granter_lease_may_change (&x->shared->lease, now))
     {
       if (x->held && x->written && x->range->previous == NULL)
-        send_grant (x, x->life_seen);
+        send_grant (x, x->same_process_at);
       return;
     }
   if (!x->written && (!x->held || x->range->previous != NULL))
--- a/range_grant.h
+++ b/range_grant.h
@@ -1,4 +1,5 @@
-/* The grant of one range of keys to its owner: calls, and what they prove. */
+/* The grant of one range of keys to its owner: calls to upstreams, and the
+ * latest time until which each of them may hold the range. */
 #ifndef CC_RANGE_GRANT_H
 #define CC_RANGE_GRANT_H
 
@@ -6,56 +7,60 @@
 #include "edge.h"
 #include "key_ranges.h"
 
-/* What all grants of a process share. */
+/* State that all grants of a process share. */
 typedef struct
 {
   CcHttp *http;
   CcTargets *targets;
-  CcGranterLease lease; /* by which this process grants */
-  gboolean replan;      /* set: an owner has turned out to be gone */
+  CcGranterLease lease; /* the lease of this process */
+  gboolean replan;      /* a new plan is due */
 } CcGrantShared;
 
 /* One range and its grant. */
 typedef struct
 {
   CcGrantShared *shared;
-  CcKeyRanges *ranges; /* of its pool */
+  CcKeyRanges *ranges; /* ranges of the pool */
   char *pool;
-  CcKeyRange *range; /* in the pool's ranges */
-  gboolean dirty;    /* the row is to be written */
-  gboolean written;  /* the row says what RANGE does */
-  gboolean raised;   /* its fence is new, so what others granted ends with the
-                        owner's first answer */
-  gboolean calling;
-  gboolean dead;      /* forgotten while a call was in progress */
-  gboolean moving;    /* RANGE has a previous owner, or had before the plan that
-                         is being made */
-  gboolean held;      /* the owner answered a grant of this process */
-  gboolean released;  /* the previous owner answered a release */
-  char *handoff;      /* it left this for the owner */
-  gint64 owner_until; /* the owner's grants have ended by then, us */
-  gint64 owner_doubt; /* ... those that got no answer */
-  gint64 unanswered;  /* ... those of them that this process sent */
-  gint64 until_before;   /* OWNER_UNTIL without the call in progress */
-  gint64 previous_until; /* the same of the previous owner */
-  gint64 previous_doubt;
-  gint64 between_until; /* the same of owners that a move had for a moment */
-  gint64 not_before;    /* of the next call, us */
-  gint64 answered;      /* the owner last answered, us */
-  gint64 life_seen;  /* a connection to the owner's address that was open then
-                        leads to the process that took the last grant, us */
-  gboolean withheld; /* a renewal was, for want of such a connection */
-  gint64 call_began;
-  gint64 moved_at; /* when its owner last changed, us; 0: not seen */
+  CcKeyRange *range;     /* the range, an element of RANGES */
+  gboolean dirty;        /* the row has to be written */
+  gboolean written;      /* the row is written as RANGE is now */
+  gboolean fence_raised; /* the fence is new to the owner: with its first
+                            response, grants by other processes end */
+  gboolean call_pending;
+  gboolean freed;  /* freed by its pool while a call is pending */
+  gboolean moving; /* RANGE has a previous owner, or had one before the plan in
+                      progress */
+  gboolean held;   /* the owner accepted a grant by this process */
+  gboolean released;  /* the previous owner accepted a release */
+  char *handoff;      /* handoff data of the previous owner for the new one */
+  gint64 owner_until; /* latest expiry of the owner's grants, us */
+  gint64 owner_uncertain_until; /* the same of grants without a response */
+  gint64 unanswered_until;      /* the same of those that this process sent */
+  gint64 owner_until_before;    /* OWNER_UNTIL before the pending call */
+  gint64 previous_until;        /* OWNER_UNTIL of the previous owner */
+  gint64 previous_uncertain_until; /* OWNER_UNCERTAIN_UNTIL of the previous
+                                      owner */
+  gint64 replaced_until;  /* OWNER_UNTIL of owners that were replaced before
+                             their move had finished */
+  gint64 not_before;      /* no call before, us */
+  gint64 answered_at;     /* last response of the owner, us */
+  gint64 same_process_at; /* a connection that was open at this time leads to
+                             the process that accepted the last grant, us */
+  gboolean
+      withheld; /* a renewal was withheld because there is no such connection */
+  gint64 call_started_at; /* start of the last call, us */
+  gint64 moved_at; /* last change of owner, us; 0: none by this process */
 } CcRangeGrant;
 
-/* What the granter before may still do, or have done. */
+/* What the previous granter may still do. */
 typedef struct
 {
-  gint64 seen;               /* its last write was known, us */
-  gint64 changes_until;      /* it grants what its rows plan, us */
-  gint64 renews_until;       /* it renews what its rows say, us */
-  gint64 predecessors_until; /* those before it renew what they granted, us */
+  gint64 renewed_at;    /* when its last write was received, us */
+  gint64 changes_until; /* until then it may grant what its rows plan, us */
+  gint64 renews_until;  /* until then it may renew what its rows contain, us */
+  gint64 predecessors_until; /* until then earlier granters may renew their
+                                grants, us */
 } CcPredecessor;
 
 CcRangeGrant *cc_range_grant_new (CcGrantShared *shared, const char *pool,
