--- a/key_plan.c
+++ b/key_plan.c
@@ -1,71 +1,76 @@
-/* Load pattern: part of the keys turns busy from one second to the next, and
- * busy keys lie side by side, so one upstream gets several times what it can
- * serve while the others idle.  Divided by number, keys stay there, and all
- * that are asked for at that upstream wait.
+/* Planning of key ownership for one pool.
  *
- * Keys go from upstreams that may not own any, and from those with much more
- * load than they can bear, to those with the least for their capacity.  A busy
- * region is cut into pieces by its load and spread over several at once, since
- * it may be busy for a few seconds only.  Nothing else moves: a key that
- * changes hands waits for the old owner to end its work. */
+ * The load on which the design rests: from one second to the next some of the
+ * keys become hot, and hot keys are adjacent.  If ranges have equal numbers of
+ * keys, one upstream then receives several times the requests that it can serve
+ * while others are idle, and all requests for its keys wait.
+ *
+ * Keys are moved away from upstreams that may no longer own any, and from those
+ * with much more load than their capacity allows, to those with the least load
+ * for their capacity.  A hot region is split into pieces by load, which go to
+ * several upstreams at once, since it may be hot for only a few seconds.
+ * Nothing else is moved, since a key that changes its owner has to wait until
+ * the previous owner has finished its requests. */
 #include "key_plan.h"
 
 #include <math.h>
 
 #include "edge.h"
 
-/* Ranges of an upstream that leaves are cut to at most this part of a fair
- * share, so that its load is spread over several others. */
-#define PIECE_PART 0.5
-/* A newcomer gets this part of a fair share at first, from DONORS others: its
- * caches are cold, and each key that moves is a risk for the requests on it. */
-#define NEWCOMER_PART 0.6
-#define DONORS 2
+/* Ranges of a leaving upstream are split into pieces of at most this part of a
+ * fair share, so that its load is spread over several others. */
+#define PIECE_SHARE 0.5
+/* A new owner first gets this part of a fair share, from as many ranges as
+ * NEW_OWNER_DONORS: its caches are cold, and each move may delay requests for
+ * the moved keys. */
+#define NEW_OWNER_SHARE 0.6
+#define NEW_OWNER_DONORS 2
 /* All keys together count as at least this part of the measured load, so that
- * keys that nobody asked for lately are not all one upstream's. */
-#define FLOOR_PART 0.25
-#define FLOOR_LEAST 1.0 /* requests a second, while nothing is measured */
-/* Load is taken off an upstream that is busier than this, as a part of its
- * capacity: below, requests seldom wait and chance does not hurt. */
-#define BUSY_FROM 0.75
-/* ... and busier than the mean by this factor: counts of two seconds are off by
- * a fifth. */
-#define BUSY_FACTOR 1.35
-/* Moves of less than this part of the upstream's load are not worth it. */
-#define MOVE_LEAST 0.08
-/* A range may have this much more than what is to be moved: cutting it costs a
- * range for good. */
-#define PIECE_EXCESS 1.2
-/* A key that is asked for more often than its owner can serve counts as this
- * part of that owner's capacity: what lies beyond is refused, and would make
- * the pool look busier than it can be made. */
-#define HOT_KEY_MOST 1.5
-
-/* However slow an upstream is, it counts for this part of its capacity at
- * least: one that owns no keys at all is never measured again. */
-#define WEIGHT_LEAST 0.1
-/* Halvings in the search for how much each upstream is to have as headroom;
- * that of any is then known to a millionth. */
-#define HALVINGS 20
+ * keys without recent requests are not all given to one upstream. */
+#define BASE_LOAD_SHARE 0.25
+#define BASE_LOAD_MIN 1.0 /* requests a second, without any measured load */
+/* An upstream is relieved if its load exceeds this part of its capacity.  Below
+ * it requests seldom queue, and random variation does no harm. */
+#define RELIEF_UTILISATION 0.75
+/* The load must also exceed the mean by this factor, since counts of two
+ * seconds vary by a fifth. */
+#define RELIEF_FACTOR 1.35
+/* A move of less than this part of the upstream's load is not made. */
+#define MIN_MOVE_SHARE 0.08
+/* A range that is moved may have up to this many times the load to be moved.
+ * Whole ranges within this limit are preferred, since each split adds a range
+ * permanently. */
+#define PIECE_TOLERANCE 1.2
+/* A key with more requests than its owner can serve counts as at most this many
+ * times the owner's capacity.  Requests beyond that are rejected, and counting
+ * them would make the mean load of the pool higher than it can be. */
+#define HOT_KEY_LIMIT 1.5
+
+/* Lower bound of an upstream's weight, as a part of its capacity.  The capacity
+ * of an upstream without any keys would never be measured again. */
+#define MIN_WEIGHT 0.1
+/* Bisection steps in the search for the headroom of the upstreams; they give a
+ * relative precision of one millionth. */
+#define BISECTION_STEPS 20
 
 typedef struct
 {
   CcKeyPlan *plan;
-  guint64 fence;     /* the highest that was given */
-  double capacity;   /* of all owners */
-  double per_key;    /* what each key counts for beside its load */
-  double total;      /* load of all keys */
+  guint64 fence;     /* highest fence so far */
+  double capacity;   /* sum of all owners */
+  double per_key;    /* added to the measured load of each key */
+  double total;      /* load of all keys, requests a second */
   GHashTable *by_id; /* id to CcKeyOwner */
-} State;
+} PlanState;
 
 static CcKeyOwner *
-owner_at (const State *s, guint i)
+owner_at (const PlanState *s, guint i)
 {
   return &g_array_index (s->plan->owners, CcKeyOwner, i);
 }
 
 static CcKeyOwner *
-find_owner (const State *s, const char *id, guint64 born)
+find_owner (const PlanState *s, const char *id, guint64 born)
 {
   CcKeyOwner *o = g_hash_table_lookup (s->by_id, id);
 
@@ -73,62 +78,63 @@
 }
 
 static double
-keys_of (const CcKeyRange *r)
+key_count (const CcKeyRange *r)
 {
   return (double) r->to - r->from + 1;
 }
 
 static double
-load_of (const State *s, const CcKeyRange *r)
+load_of (const PlanState *s, const CcKeyRange *r)
 {
   return cc_key_load_rate (s->plan->load, r->from, r->to) +
-         s->per_key * keys_of (r);
+         s->per_key * key_count (r);
 }
 
 static double
-use_of (const CcKeyOwner *o)
+utilisation (const CcKeyOwner *o)
 {
   return o->load / o->capacity;
 }
 
 static CcKeyOwner *
-least (const State *s)
+least_utilised (const PlanState *s)
 {
   CcKeyOwner *best = owner_at (s, 0);
 
   for (guint i = 1; i < s->plan->owners->len; i++)
-    if (use_of (owner_at (s, i)) < use_of (best))
+    if (utilisation (owner_at (s, i)) < utilisation (best))
       best = owner_at (s, i);
   return best;
 }
 
-/* The busiest that can be helped; NULL: none. */
+/* Returns the owner with the highest utilisation that is not exhausted, or
+ * NULL. */
 static CcKeyOwner *
-most (const State *s)
+most_utilised (const PlanState *s)
 {
   CcKeyOwner *best = NULL;
 
   for (guint i = 0; i < s->plan->owners->len; i++)
-    if (!owner_at (s, i)->stuck &&
-        (best == NULL || use_of (owner_at (s, i)) > use_of (best)))
+    if (!owner_at (s, i)->exhausted &&
+        (best == NULL || utilisation (owner_at (s, i)) > utilisation (best)))
       best = owner_at (s, i);
   return best;
 }
 
 static double
-fair_share (const State *s, const CcKeyOwner *o)
+fair_share (const PlanState *s, const CcKeyOwner *o)
 {
   return s->total * o->capacity / s->capacity;
 }
 
 static gboolean
-is_full (const State *s)
+limit_reached (const PlanState *s)
 {
   return s->plan->changed->len >= s->plan->limit;
 }
 
 static void
-note_changed (State *s, CcKeyRange *r)
+mark_changed (PlanState *s, CcKeyRange *r)
 {
   if (!g_ptr_array_find (s->plan->changed, r, NULL))
     g_ptr_array_add (s->plan->changed, r);
@@ -142,43 +148,45 @@
   return (gint) x->from - (gint) y->from;
 }
 
-/* Cuts KEYS keys, not all, off the end of R and returns them. */
+/* Splits KEYS keys, fewer than all, off the end of R and returns them as a new
+ * range. */
 static CcKeyRange *
-cut_off (State *s, CcKeyRange *r, guint keys)
+split_tail (PlanState *s, CcKeyRange *r, guint keys)
 {
   CcKeyRange *tail = cc_key_range_copy (r);
 
   tail->from = r->to - keys + 1;
   tail->version = 0;
   r->to = tail->from - 1;
-  note_changed (s, r);
-  note_changed (s, tail);
+  mark_changed (s, r);
+  mark_changed (s, tail);
   g_ptr_array_add (s->plan->ranges->list, tail);
   g_ptr_array_sort (s->plan->ranges->list, by_from);
   return tail;
 }
 
-/* Cuts a part of about LOAD off the end of R, which has more than one key, and
- * returns it. */
+/* Splits about LOAD off the end of R, which has more than one key, and returns
+ * the new range. */
 static CcKeyRange *
-cut (State *s, CcKeyRange *r, double load)
+split_load (PlanState *s, CcKeyRange *r, double load)
 {
-  return cut_off (s, r,
-                  cc_key_load_split (s->plan->load, r->from, r->to, FALSE, load,
-                                     s->per_key));
+  return split_tail (s, r,
+                     cc_key_load_split (s->plan->load, r->from, r->to, FALSE,
+                                        load, s->per_key));
 }
 
 static void
-give (State *s, CcKeyRange *r, CcKeyOwner *o)
+assign_range (PlanState *s, CcKeyRange *r, CcKeyOwner *o)
 {
   cc_key_range_move (r, o->id, o->born, ++s->fence);
   o->load += load_of (s, r);
-  note_changed (s, r);
+  mark_changed (s, r);
 }
 
-/* The first division: as many ranges as owners, by their capacity. */
+/* Divides the keys for the first time, into one range for each owner, by
+ * capacity. */
 static void
-divide (State *s)
+divide_initially (PlanState *s)
 {
   double upto = 0;
   guint from = 0;
@@ -193,15 +201,16 @@
       to = i + 1 == s->plan->owners->len ? CC_KEYS - 1 : (guint) upto - 1;
       r = cc_key_range_new (from, to, o->id, o->born, ++s->fence);
       g_ptr_array_add (s->plan->ranges->list, r);
-      note_changed (s, r);
+      mark_changed (s, r);
       from = to + 1;
     }
 }
 
-/* The same upstream, started again under its id, holds nothing of before: it
- * gets its keys back, and nobody else needs to stop for them. */
+/* If the owner of R has restarted under its id, leaves R to it with a new
+ * fence: it holds no earlier grants, and no other upstream has to release the
+ * keys.  Returns FALSE if the owner is not available. */
 static gboolean
-take_back (State *s, CcKeyRange *r)
+keep_restarted_owner (PlanState *s, CcKeyRange *r)
 {
   CcKeyOwner *o = g_hash_table_lookup (s->by_id, r->owner);
 
@@ -210,17 +219,17 @@
   r->born = o->born;
   r->fence = ++s->fence;
   o->load += load_of (s, r);
-  note_changed (s, r);
+  mark_changed (s, r);
   return TRUE;
 }
 
 static void
-place_orphans (State *s)
+assign_unowned (PlanState *s)
 {
-  for (guint i = 0; i < s->plan->ranges->list->len && !is_full (s); i++)
+  for (guint i = 0; i < s->plan->ranges->list->len && !limit_reached (s); i++)
     {
       CcKeyRange *r = s->plan->ranges->list->pdata[i];
-      double piece = PIECE_PART * s->total / s->plan->owners->len;
+      double piece = PIECE_SHARE * s->total / s->plan->owners->len;
 
       if (find_owner (s, r->owner, r->born) != NULL)
         continue;
@@ -229,25 +238,26 @@
           s->plan->skipped = TRUE;
           continue;
         }
-      if (take_back (s, r))
+      if (keep_restarted_owner (s, r))
         continue;
-      if (load_of (s, r) > 1.5 * piece && keys_of (r) > 2)
-        cut (s, r, load_of (s, r) - piece);
-      give (s, r, least (s));
+      if (load_of (s, r) > 1.5 * piece && key_count (r) > 2)
+        split_load (s, r, load_of (s, r) - piece);
+      assign_range (s, r, least_utilised (s));
     }
 }
 
-/* Whether R is R's owner's to keep: being moved, moved lately, or in a call. */
+/* Whether R must not be moved for load: it is being moved, was moved recently,
+ * or is locked. */
 static gboolean
-stays (const CcKeyRange *r)
+is_pinned (const CcKeyRange *r)
 {
   return r->previous != NULL || r->settling || r->locked;
 }
 
-/* The range of the busiest owners but NEWCOMER that has the most load and may
- * be moved. */
+/* Returns the movable range with the highest sum of its own load and its
+ * owner's, among owners other than NEW_OWNER, or NULL. */
 static CcKeyRange *
-heaviest (const State *s, const CcKeyOwner *newcomer)
+find_donor_range (const PlanState *s, const CcKeyOwner *new_owner)
 {
   CcKeyRange *best = NULL;
   double best_weight = 0;
@@ -255,12 +265,13 @@
   for (guint i = 0; i < s->plan->ranges->list->len; i++)
     {
       CcKeyRange *r = s->plan->ranges->list->pdata[i];
-      const CcKeyOwner *its = find_owner (s, r->owner, r->born);
+      const CcKeyOwner *owner = find_owner (s, r->owner, r->born);
       double weight;
 
-      if (its == NULL || its == newcomer || stays (r) || keys_of (r) < 2)
+      if (owner == NULL || owner == new_owner || is_pinned (r) ||
+          key_count (r) < 2)
         continue;
-      weight = load_of (s, r) + its->load;
+      weight = load_of (s, r) + owner->load;
       if (weight > best_weight)
         best = r;
       best_weight = MAX (best_weight, weight);
@@ -269,27 +280,28 @@
 }
 
 static void
-supply_newcomer (State *s, CcKeyOwner *o)
+supply_new_owner (PlanState *s, CcKeyOwner *o)
 {
-  for (guint i = 0; i < DONORS && !is_full (s); i++)
+  for (guint i = 0; i < NEW_OWNER_DONORS && !limit_reached (s); i++)
     {
-      double wanted = NEWCOMER_PART * fair_share (s, o) / DONORS;
-      CcKeyRange *r = heaviest (s, o);
+      double requested = NEW_OWNER_SHARE * fair_share (s, o) / NEW_OWNER_DONORS;
+      CcKeyRange *r = find_donor_range (s, o);
       CcKeyOwner *donor;
 
-      if (r == NULL || keys_of (r) <= 2)
+      if (r == NULL || key_count (r) <= 2)
         return;
       donor = find_owner (s, r->owner, r->born);
-      r = cut (s, r, MIN (wanted, load_of (s, r) / 2));
+      r = split_load (s, r, MIN (requested, load_of (s, r) / 2));
       donor->load -= load_of (s, r);
-      give (s, r, o);
+      assign_range (s, r, o);
     }
 }
 
-/* The range of O with the most load up to MOST, or with SPLITTABLE the one with
- * the most that can be cut; NULL: none. */
+/* Returns O's movable range with the highest load up to MOST, or, if
+ * SPLITTABLE, the one with the highest load that has more than one key; NULL if
+ * there is none. */
 static CcKeyRange *
-find_range (const State *s, const CcKeyOwner *o, double most,
+find_range (const PlanState *s, const CcKeyOwner *o, double most,
             gboolean splittable)
 {
   CcKeyRange *best = NULL;
@@ -300,8 +312,8 @@
       CcKeyRange *r = s->plan->ranges->list->pdata[i];
       double load;
 
-      if (stays (r) || find_owner (s, r->owner, r->born) != o ||
-          (splittable && keys_of (r) < 2))
+      if (is_pinned (r) || find_owner (s, r->owner, r->born) != o ||
+          (splittable && key_count (r) < 2))
         continue;
       load = load_of (s, r);
       if (load <= best_load || (!splittable && load > most))
@@ -312,77 +324,80 @@
   return best;
 }
 
-/* Cuts about AMOUNT off one end of R and returns that part; NULL if the key at
- * either end is busier than that by itself. */
+/* Splits about AMOUNT off one end of R and returns that part, or NULL if the
+ * key at either end alone has more load than that. */
 static CcKeyRange *
-cut_end (State *s, CcKeyRange *r, double amount)
+split_end (PlanState *s, CcKeyRange *r, double amount)
 {
   const CcKeyLoad *h = s->plan->load;
   guint tail = cc_key_load_split (h, r->from, r->to, FALSE, amount, s->per_key);
   guint head = cc_key_load_split (h, r->from, r->to, TRUE, amount, s->per_key);
-  double most = PIECE_EXCESS * amount;
+  double most = PIECE_TOLERANCE * amount;
 
   if (cc_key_load_rate (h, r->to - tail + 1, r->to) <= most)
-    return cut_off (s, r, tail);
+    return split_tail (s, r, tail);
   if (cc_key_load_rate (h, r->from, r->from + head - 1) > most)
     return NULL;
-  cut_off (s, r, (guint) keys_of (r) - head);
+  split_tail (s, r, (guint) key_count (r) - head);
   return r;
 }
 
-/* Takes AMOUNT off FROM and gives it to TO.  FALSE: nothing of FROM's can be
- * moved, since a single key is too busy or all was moved lately. */
+/* Moves about AMOUNT of load from FROM to TO.  Returns FALSE if no range of
+ * FROM can be moved, because a single key has too much load or all ranges were
+ * moved recently. */
 static gboolean
-shift (State *s, CcKeyOwner *from, CcKeyOwner *to, double amount)
+move_load (PlanState *s, CcKeyOwner *from, CcKeyOwner *to, double amount)
 {
-  CcKeyRange *r = find_range (s, from, PIECE_EXCESS * amount, FALSE);
+  CcKeyRange *r = find_range (s, from, PIECE_TOLERANCE * amount, FALSE);
 
-  if (r == NULL || load_of (s, r) < MOVE_LEAST * from->load)
+  if (r == NULL || load_of (s, r) < MIN_MOVE_SHARE * from->load)
     {
       CcKeyRange *whole = find_range (s, from, 0, TRUE);
-      CcKeyRange *part = whole != NULL ? cut_end (s, whole, amount) : NULL;
+      CcKeyRange *part = whole != NULL ? split_end (s, whole, amount) : NULL;
 
       r = part != NULL ? part : r;
     }
   if (r == NULL)
     return FALSE;
   from->load -= load_of (s, r);
-  give (s, r, to);
+  assign_range (s, r, to);
   return TRUE;
 }
 
-/* Takes load off the busiest owner.  Returns FALSE if nothing is to be done.
+/* Moves load off the owner with the highest utilisation.  Returns FALSE if none
+ * has to be relieved.
  *
- * Failure: one key is asked for more often than its owner can serve, and no
- * move helps; a plan that ends there leaves all other busy owners as they are.
- * So such an owner is left out, after its other keys were taken off it. */
+ * If one key receives more requests than its owner can serve, no move helps.
+ * Such an owner is marked as exhausted after its other keys were moved, so that
+ * the plan goes on to the other overloaded owners. */
 static gboolean
-relieve (State *s)
+relieve_owner (PlanState *s)
 {
-  CcKeyOwner *from = most (s), *to = least (s);
+  CcKeyOwner *from = most_utilised (s), *to = least_utilised (s);
   double mean = s->total / s->capacity;
   double amount;
 
-  if (from == NULL || use_of (from) < MAX (BUSY_FROM, BUSY_FACTOR * mean))
+  if (from == NULL ||
+      utilisation (from) < MAX (RELIEF_UTILISATION, RELIEF_FACTOR * mean))
     return FALSE;
   amount =
       MIN (from->load - mean * from->capacity, mean * to->capacity - to->load);
-  if (amount < MOVE_LEAST * mean * from->capacity ||
-      !shift (s, from, to, amount))
-    from->stuck = TRUE;
+  if (amount < MIN_MOVE_SHARE * mean * from->capacity ||
+      !move_load (s, from, to, amount))
+    from->exhausted = TRUE;
   return TRUE;
 }
 
-/* What an upstream of CAPACITY is to be asked for, if HEADROOM times the root
- * of it is to be left. */
+/* Returns the load that an upstream of CAPACITY should have if HEADROOM times
+ * the square root of its capacity is to stay free. */
 static double
 weight_of (double capacity, double headroom)
 {
-  return MAX (capacity - headroom * sqrt (capacity), WEIGHT_LEAST * capacity);
+  return MAX (capacity - headroom * sqrt (capacity), MIN_WEIGHT * capacity);
 }
 
 static double
-sum_of_weights (const State *s, double headroom)
+sum_of_weights (const PlanState *s, double headroom)
 {
   double sum = 0;
 
@@ -391,22 +406,23 @@
   return sum;
 }
 
-/* Load pattern: little is asked for, and upstreams differ in speed.  Divided in
- * proportion to what they can serve, the slow ones get requests that take half
- * as long again there while the fast ones idle.
+/* Replaces the capacity of each owner by a weight for its share of the load;
+ * the sum stays the same.
  *
- * The mean time of an answer is least if each has headroom in proportion to
- * the root of its capacity: with little load the fast ones serve nearly all,
- * with much all are equally busy.  So capacities are weighed by what is to be
- * asked for, and keep their sum. */
+ * It matters if the load is low and upstreams differ in speed.  With shares in
+ * proportion to capacity, the slow ones receive requests that take half as long
+ * again there while the fast ones are idle.  The mean response time is lowest
+ * if the headroom of each is in proportion to the square root of its capacity:
+ * with low load the fast ones serve nearly everything, with high load all have
+ * the same utilisation. */
 static void
-weigh_capacities (State *s)
+weigh_capacities (PlanState *s)
 {
   double low = 0, high = 0, weights;
 
   for (guint i = 0; i < s->plan->owners->len; i++)
     high = MAX (high, sqrt (owner_at (s, i)->capacity));
-  for (guint i = 0; i < HALVINGS; i++)
+  for (guint i = 0; i < BISECTION_STEPS; i++)
     {
       double middle = (low + high) / 2;
 
@@ -422,17 +438,17 @@
 }
 
 static void
-measure (State *s)
+measure_load (PlanState *s)
 {
   double measured = cc_key_load_rate (s->plan->load, 0, CC_KEYS - 1);
 
-  s->per_key = MAX (FLOOR_PART * measured, FLOOR_LEAST) / CC_KEYS;
+  s->per_key = MAX (BASE_LOAD_SHARE * measured, BASE_LOAD_MIN) / CC_KEYS;
   s->total = measured + s->per_key * CC_KEYS;
   for (guint i = 0; i < s->plan->owners->len; i++)
     {
       s->capacity += owner_at (s, i)->capacity;
       owner_at (s, i)->load = 0;
-      owner_at (s, i)->stuck = FALSE;
+      owner_at (s, i)->exhausted = FALSE;
       g_hash_table_insert (s->by_id, (gpointer) owner_at (s, i)->id,
                            owner_at (s, i));
     }
@@ -445,36 +461,37 @@
 
       if (o == NULL)
         continue;
-      if (keys_of (r) < 2 && load > HOT_KEY_MOST * o->capacity)
+      if (key_count (r) < 2 && load > HOT_KEY_LIMIT * o->capacity)
         {
-          s->total -= load - HOT_KEY_MOST * o->capacity;
-          load = HOT_KEY_MOST * o->capacity;
+          s->total -= load - HOT_KEY_LIMIT * o->capacity;
+          load = HOT_KEY_LIMIT * o->capacity;
         }
       o->load += load;
     }
 }
 
-/* Plans for one pool. */
+/* Makes a plan for one pool: changes P's ranges and lists the changed ones in
+ * P->changed.  Does nothing without owners. */
 void
 cc_key_plan (CcKeyPlan *p)
 {
   g_autoptr (GHashTable) by_id = g_hash_table_new (g_str_hash, g_str_equal);
-  State s = { .plan = p,
-              .fence = cc_key_ranges_top_fence (p->ranges),
-              .by_id = by_id };
+  PlanState s = { .plan = p,
+                  .fence = cc_key_ranges_top_fence (p->ranges),
+                  .by_id = by_id };
 
   if (p->owners->len == 0)
     return;
-  measure (&s);
+  measure_load (&s);
   if (p->ranges->list->len == 0)
     {
-      divide (&s);
+      divide_initially (&s);
       return;
     }
-  place_orphans (&s);
+  assign_unowned (&s);
   for (guint i = 0; i < p->owners->len; i++)
     if (owner_at (&s, i)->load == 0)
-      supply_newcomer (&s, owner_at (&s, i));
-  while (p->rebalance && !is_full (&s) && relieve (&s))
+      supply_new_owner (&s, owner_at (&s, i));
+  while (p->rebalance && !limit_reached (&s) && relieve_owner (&s))
     ;
 }
--- a/key_plan.h
+++ b/key_plan.h
@@ -1,4 +1,4 @@
-/* Decides which ranges of keys change their owner. */
+/* Plans which ranges of keys are given to which owner. */
 #ifndef CC_KEY_PLAN_H
 #define CC_KEY_PLAN_H
 
@@ -11,21 +11,22 @@
   const char *id;
   guint64 born;
   double capacity; /* requests a second that it can serve */
-  /* Kept by this module: */
-  double load;    /* of its keys, requests a second */
-  gboolean stuck; /* nothing can be taken off it */
+  /* Set by cc_key_plan: */
+  double load;        /* load of its keys, requests a second */
+  gboolean exhausted; /* no more load can be moved off it */
 } CcKeyOwner;
 
-/* One pool at one moment. */
+/* Input and result of a plan for one pool. */
 typedef struct
 {
-  CcKeyRanges *ranges;   /* changed in place */
-  GArray *owners;        /* of CcKeyOwner, those that may get keys */
+  CcKeyRanges *ranges;   /* updated in place */
+  GArray *owners;        /* of CcKeyOwner, all that may be given keys */
   const CcKeyLoad *load; /* of the pool's keys */
-  guint limit;           /* changes to be made at most */
-  gboolean rebalance;    /* load may be moved, too */
-  gboolean skipped;      /* set: a range without owner was busy */
-  GPtrArray *changed;    /* the ranges that were, each once */
+  guint limit;           /* largest number of changed ranges */
+  gboolean rebalance;    /* ranges are also moved to balance load */
+  gboolean skipped;   /* set if a range without an owner was left because it was
+                         locked */
+  GPtrArray *changed; /* changed ranges, each once */
 } CcKeyPlan;
 
 void cc_key_plan (CcKeyPlan *p);
--- a/test/test_key_plan.c
+++ b/test/test_key_plan.c
@@ -1,7 +1,6 @@
-/* The plan of keys: every key has one owner after each plan, ranges keep their
- * order, fences rise, and a busy region is spread.  Seeded worlds of upstreams
- * that come, go, start again and turn slow, and the load pattern that the
- * module is for, judged against a division by number. */
+/* Runs plans on seeded pools whose upstreams join, leave, restart and slow
+ * down.  Guards against keys without exactly one owner, fences that do not
+ * rise, and a hot region that overloads one upstream. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -33,81 +32,81 @@
   CcKeyRanges ranges;
   CcKeyLoad load;
   GPtrArray *changed;
-} World;
+} Pool;
 
 static void
-world_init (World *w)
+pool_init (Pool *pool)
 {
-  memset (w, 0, sizeof *w);
-  cc_key_ranges_init (&w->ranges);
-  w->changed = g_ptr_array_new ();
+  memset (pool, 0, sizeof *pool);
+  cc_key_ranges_init (&pool->ranges);
+  pool->changed = g_ptr_array_new ();
   for (guint i = 0; i < UPSTREAMS; i++)
     {
-      g_snprintf (w->all[i].id, sizeof w->all[i].id, "u%u", i);
-      w->all[i].capacity = 18;
-      w->all[i].up = TRUE;
+      g_snprintf (pool->all[i].id, sizeof pool->all[i].id, "u%u", i);
+      pool->all[i].capacity = 18;
+      pool->all[i].up = TRUE;
     }
 }
 
 static void
-add_bucket (World *w, guint bucket, double count)
+add_bucket (Pool *pool, guint bucket, double count)
 {
   for (guint k = 0; k < CC_LOAD_BUCKET; k++)
-    cc_key_load_add (&w->load, bucket * CC_LOAD_BUCKET + k,
+    cc_key_load_add (&pool->load, bucket * CC_LOAD_BUCKET + k,
                      count / CC_LOAD_BUCKET);
 }
 
 static void
-world_clear (World *w)
+pool_clear (Pool *pool)
 {
-  cc_key_ranges_clear (&w->ranges);
-  g_ptr_array_unref (w->changed);
+  cc_key_ranges_clear (&pool->ranges);
+  g_ptr_array_unref (pool->changed);
 }
 
 static void
-plan (World *w)
+plan (Pool *pool)
 {
   g_autoptr (GArray) owners = g_array_new (FALSE, TRUE, sizeof (CcKeyOwner));
-  CcKeyPlan p = { .ranges = &w->ranges,
+  CcKeyPlan p = { .ranges = &pool->ranges,
                   .owners = owners,
-                  .load = &w->load,
+                  .load = &pool->load,
                   .limit = LIMIT,
                   .rebalance = TRUE,
-                  .changed = w->changed };
+                  .changed = pool->changed };
 
   for (guint i = 0; i < UPSTREAMS; i++)
     {
-      const Upstream *u = &w->all[i];
+      const Upstream *u = &pool->all[i];
       CcKeyOwner o = { .id = u->id, .born = u->born, .capacity = u->capacity };
 
       if (u->up)
         g_array_append_val (owners, o);
     }
-  g_ptr_array_set_size (w->changed, 0);
+  g_ptr_array_set_size (pool->changed, 0);
   cc_key_plan (&p);
 }
 
-/* All moves that were planned have been carried out. */
+/* Completes all planned moves. */
 static void
-settle (World *w)
+complete_moves (Pool *pool)
 {
-  for (guint i = 0; i < w->ranges.list->len; i++)
+  for (guint i = 0; i < pool->ranges.list->len; i++)
     {
-      CcKeyRange *r = w->ranges.list->pdata[i];
+      CcKeyRange *r = pool->ranges.list->pdata[i];
 
       g_clear_pointer (&r->previous, g_free);
     }
 }
 
-/* Whether each key is in exactly one range, as cc_key_ranges_find sees it. */
+/* Whether each key is in exactly one range. */
 static gboolean
-covers_all (const World *w)
+covers_all (const Pool *pool)
 {
   guint next = 0;
 
-  for (guint i = 0; i < w->ranges.list->len; i++)
+  for (guint i = 0; i < pool->ranges.list->len; i++)
     {
-      const CcKeyRange *r = w->ranges.list->pdata[i];
+      const CcKeyRange *r = pool->ranges.list->pdata[i];
 
       if (r->from != next || r->to < r->from)
         return FALSE;
@@ -117,12 +116,12 @@
 }
 
 static gboolean
-owners_are_up (const World *w)
+owners_are_up (const Pool *pool)
 {
-  for (guint i = 0; i < w->ranges.list->len; i++)
+  for (guint i = 0; i < pool->ranges.list->len; i++)
     {
-      const CcKeyRange *r = w->ranges.list->pdata[i];
-      const Upstream *u = &w->all[r->owner[1] - '0'];
+      const CcKeyRange *r = pool->ranges.list->pdata[i];
+      const Upstream *u = &pool->all[r->owner[1] - '0'];
 
       if (!u->up || u->born != r->born)
         return FALSE;
@@ -131,9 +130,9 @@
 }
 
 static void
-disturb (World *w, GRand *rand)
+inject_fault (Pool *pool, GRand *rand)
 {
-  Upstream *u = &w->all[g_rand_int_range (rand, 0, UPSTREAMS)];
+  Upstream *u = &pool->all[g_rand_int_range (rand, 0, UPSTREAMS)];
   guint at = (guint) g_rand_int_range (rand, 0, CC_LOAD_BUCKETS - 20);
 
   switch (g_rand_int_range (rand, 0, 4))
@@ -149,7 +148,7 @@
       break;
     default:
       for (guint i = 0; i < 13; i++)
-        add_bucket (w, at + i, g_rand_double_range (rand, 0, 10));
+        add_bucket (pool, at + i, g_rand_double_range (rand, 0, 10));
       break;
     }
 }
@@ -161,77 +160,77 @@
   for (guint seed = 0; seed < SEEDS; seed++)
     {
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-      World w;
+      Pool pool;
       gint64 now = 1;
 
-      world_init (&w);
+      pool_init (&pool);
       for (guint step = 0; step < STEPS; step++)
         {
-          guint64 top = cc_key_ranges_top_fence (&w.ranges);
+          guint64 top = cc_key_ranges_top_fence (&pool.ranges);
           gboolean any = FALSE;
 
-          disturb (&w, rand);
-          cc_key_load_decay (&w.load, now += CC_SECOND);
-          plan (&w);
+          inject_fault (&pool, rand);
+          cc_key_load_decay (&pool.load, now += CC_SECOND);
+          plan (&pool);
           for (guint i = 0; i < UPSTREAMS; i++)
-            any |= w.all[i].up;
+            any |= pool.all[i].up;
           if (!any)
             continue;
-          if (!covers_all (&w) || !owners_are_up (&w) ||
-              cc_key_ranges_top_fence (&w.ranges) < top)
+          if (!covers_all (&pool) || !owners_are_up (&pool) ||
+              cc_key_ranges_top_fence (&pool.ranges) < top)
             fail_msg ("seed %u, step %u", seed, step);
           if (g_rand_boolean (rand))
-            settle (&w);
+            complete_moves (&pool);
         }
-      world_clear (&w);
+      pool_clear (&pool);
     }
 }
 
-/* The share of its capacity that upstream U is asked for. */
+/* Load of upstream U as a part of its capacity. */
 static double
-use_of (const World *w, guint u)
+utilisation (const Pool *pool, guint u)
 {
   double use = 0;
 
-  for (guint i = 0; i < w->ranges.list->len; i++)
+  for (guint i = 0; i < pool->ranges.list->len; i++)
     {
-      const CcKeyRange *r = w->ranges.list->pdata[i];
+      const CcKeyRange *r = pool->ranges.list->pdata[i];
 
       if ((guint) (r->owner[1] - '0') == u)
-        use += cc_key_load_rate (&w->load, r->from, r->to) / w->all[u].capacity;
+        use += cc_key_load_rate (&pool->load, r->from, r->to) /
+               pool->all[u].capacity;
     }
   return use;
 }
 
 static double
-busiest (const World *w)
+max_utilisation (const Pool *pool)
 {
   double top = 0;
 
   for (guint u = 0; u < UPSTREAMS; u++)
-    top = MAX (top, use_of (w, u));
+    top = MAX (top, utilisation (pool, u));
   return top;
 }
 
-/* For twelve seconds, 50 requests a second for all keys and 27 for 13 buckets
- * from PLACE on. */
+/* Adds the load of twelve seconds: 50 requests a second for all keys, and 27
+ * for the 13 buckets from PLACE on. */
 static void
-warm (World *w, guint place)
+add_hot_load (Pool *pool, guint place)
 {
   for (gint64 now = 1; now < 12 * CC_SECOND; now += 100 * CC_MS)
     {
       for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
-        add_bucket (w, b, 5.0 / CC_LOAD_BUCKETS);
+        add_bucket (pool, b, 5.0 / CC_LOAD_BUCKETS);
       for (guint b = 0; b < 13; b++)
-        add_bucket (w, place + b, 2.7 / 13);
-      cc_key_load_decay (&w->load, now);
+        add_bucket (pool, place + b, 2.7 / 13);
+      cc_key_load_decay (&pool->load, now);
     }
 }
 
-/* Callers of a busy castle: 200 keys side by side get 35 in 100 of all requests
- * from one second to the next.  By number one upstream would be asked for three
- * times what it can serve; after one plan none is asked for more than it has.
- */
+/* Guards against one overloaded upstream when 200 adjacent keys suddenly get
+ * 35% of all requests: with equal numbers of keys it would have three times its
+ * capacity; after one plan none is above its capacity. */
 static void
 a_busy_region_is_spread_in_one_plan (void **state)
 {
@@ -240,27 +239,26 @@
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (places); i++)
     {
-      World w;
+      Pool pool;
       double by_number;
 
-      world_init (&w);
-      cc_key_load_decay (&w.load, 1);
-      plan (&w);
-      settle (&w);
-      warm (&w, places[i]);
-      by_number = busiest (&w);
-      plan (&w);
+      pool_init (&pool);
+      cc_key_load_decay (&pool.load, 1);
+      plan (&pool);
+      complete_moves (&pool);
+      add_hot_load (&pool, places[i]);
+      by_number = max_utilisation (&pool);
+      plan (&pool);
       assert_true (by_number > 1.5);
-      assert_true (busiest (&w) < 0.8);
-      assert_true (covers_all (&w));
-      world_clear (&w);
+      assert_true (max_utilisation (&pool) < 0.8);
+      assert_true (covers_all (&pool));
+      pool_clear (&pool);
     }
 }
 
-/* One key gets more than three upstreams could serve, and at the same time a
- * region elsewhere is busy.  Nothing helps the callers of that key; but those
- * of the other keys of its upstream, and of the region, must not suffer with
- * them. */
+/* Guards against requests for other keys that suffer while one key gets more
+ * than three upstreams could serve: its owner's other keys and a hot region
+ * elsewhere must still be moved. */
 static void
 a_key_busier_than_its_owner_harms_no_other (void **state)
 {
@@ -269,49 +267,49 @@
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (keys); i++)
     {
-      World w;
+      Pool pool;
       const CcKeyRange *hot;
       double others = 0, beside = 0;
 
-      world_init (&w);
-      cc_key_load_decay (&w.load, 1);
-      plan (&w);
-      settle (&w);
+      pool_init (&pool);
+      cc_key_load_decay (&pool.load, 1);
+      plan (&pool);
+      complete_moves (&pool);
       for (gint64 now = 1; now < 6 * CC_SECOND; now += 100 * CC_MS)
         {
-          cc_key_load_add (&w.load, keys[i], 6);
+          cc_key_load_add (&pool.load, keys[i], 6);
           for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
-            add_bucket (&w, b, 5.0 / CC_LOAD_BUCKETS);
+            add_bucket (&pool, b, 5.0 / CC_LOAD_BUCKETS);
           for (guint b = 0; b < 13; b++)
-            add_bucket (&w, 3000 + b, 2.7 / 13);
-          cc_key_load_decay (&w.load, now);
+            add_bucket (&pool, 3000 + b, 2.7 / 13);
+          cc_key_load_decay (&pool.load, now);
         }
       for (guint rounds = 0; rounds < 6; rounds++)
         {
-          plan (&w);
-          settle (&w);
+          plan (&pool);
+          complete_moves (&pool);
         }
-      hot = cc_key_ranges_find (&w.ranges, keys[i]);
-      for (guint k = 0; k < w.ranges.list->len; k++)
+      hot = cc_key_ranges_find (&pool.ranges, keys[i]);
+      for (guint k = 0; k < pool.ranges.list->len; k++)
         {
-          const CcKeyRange *r = w.ranges.list->pdata[k];
-          double load = cc_key_load_rate (&w.load, r->from, r->to);
+          const CcKeyRange *r = pool.ranges.list->pdata[k];
+          double load = cc_key_load_rate (&pool.load, r->from, r->to);
 
           if (r != hot && g_str_equal (r->owner, hot->owner))
             beside += load;
         }
       for (guint u = 0; u < UPSTREAMS; u++)
         if (u != (guint) (hot->owner[1] - '0'))
-          others = MAX (others, use_of (&w, u));
+          others = MAX (others, utilisation (&pool, u));
       if (hot->to - hot->from > 2 || beside > 2 || others > 0.95)
         fail_msg ("key %u in %u to %u, beside it %.1f a second, others at %.2f",
                   keys[i], hot->from, hot->to, beside, others);
-      world_clear (&w);
+      pool_clear (&pool);
     }
 }
 
-/* Chance alone moves next to nothing: counts of 18 requests at each upstream,
- * which differ by a quarter. */
+/* Guards against moves caused by random variation: counts of 18 requests at
+ * each upstream differ by a quarter. */
 static void
 an_even_load_moves_next_to_nothing (void **state)
 {
@@ -321,79 +319,80 @@
   for (guint seed = 0; seed < 300; seed++)
     {
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-      World w;
+      Pool pool;
 
-      world_init (&w);
-      cc_key_load_decay (&w.load, 1);
-      plan (&w);
-      settle (&w);
+      pool_init (&pool);
+      cc_key_load_decay (&pool.load, 1);
+      plan (&pool);
+      complete_moves (&pool);
       for (guint n = 0; n < 160; n++)
-        cc_key_load_add (&w.load,
+        cc_key_load_add (&pool.load,
                          (guint) g_rand_int_range (rand, 0, CC_LOAD_KEYS), 1);
-      cc_key_load_decay (&w.load, 1);
-      plan (&w);
-      changed += w.changed->len;
-      world_clear (&w);
+      cc_key_load_decay (&pool.load, 1);
+      plan (&pool);
+      changed += pool.changed->len;
+      pool_clear (&pool);
     }
-  /* Less than one change in a plan of 9 ranges, in the mean. */
+  /* On average less than one change in a plan of 9 ranges. */
   assert_true (changed < 300);
 }
 
-/* An upstream starts again under its id: it gets its own keys back at once with
- * a higher fence, since nobody else holds them. */
+/* Guards against keys of a restarted upstream that go to others: it keeps them
+ * with a higher fence, since nobody else holds them. */
 static void
 a_restarted_upstream_gets_its_keys_back (void **state)
 {
-  World w;
+  Pool pool;
 
   (void) state;
-  world_init (&w);
-  plan (&w);
-  settle (&w);
-  w.all[3].born = 7;
-  plan (&w);
-  assert_int_equal (w.changed->len, 1);
-  assert_null (((CcKeyRange *) w.changed->pdata[0])->previous);
-  assert_int_equal (((CcKeyRange *) w.changed->pdata[0])->born, 7);
-  assert_int_equal (((CcKeyRange *) w.changed->pdata[0])->fence, 10);
-  world_clear (&w);
+  pool_init (&pool);
+  plan (&pool);
+  complete_moves (&pool);
+  pool.all[3].born = 7;
+  plan (&pool);
+  assert_int_equal (pool.changed->len, 1);
+  assert_null (((CcKeyRange *) pool.changed->pdata[0])->previous);
+  assert_int_equal (((CcKeyRange *) pool.changed->pdata[0])->born, 7);
+  assert_int_equal (((CcKeyRange *) pool.changed->pdata[0])->fence, 10);
+  pool_clear (&pool);
 }
 
-/* A range was cut in two and only the row of its lower part was written.  The
- * upper part is still with the owner of the lower. */
+/* Guards against keys without an owner when a range was split and only the row
+ * of its lower part was written: the upper part belongs to the same owner. */
 static void
 keys_without_a_row_go_to_the_owner_before_them (void **state)
 {
-  World w;
+  Pool pool;
 
   (void) state;
-  world_init (&w);
-  g_ptr_array_add (w.ranges.list, cc_key_range_new (0, 99, "u1", 0, 4));
-  g_ptr_array_add (w.ranges.list, cc_key_range_new (200, 300, "u2", 0, 5));
-  cc_key_ranges_fill_gaps (&w.ranges);
-  assert_true (covers_all (&w));
-  assert_string_equal (cc_key_ranges_find (&w.ranges, 150)->owner, "u1");
-  world_clear (&w);
+  pool_init (&pool);
+  g_ptr_array_add (pool.ranges.list, cc_key_range_new (0, 99, "u1", 0, 4));
+  g_ptr_array_add (pool.ranges.list, cc_key_range_new (200, 300, "u2", 0, 5));
+  cc_key_ranges_fill_gaps (&pool.ranges);
+  assert_true (covers_all (&pool));
+  assert_string_equal (cc_key_ranges_find (&pool.ranges, 150)->owner, "u1");
+  pool_clear (&pool);
 }
 
 typedef struct
 {
   const char *name;
-  double load;    /* of what all can serve together */
-  double slow[2]; /* least and most share of all that the slow third gets */
-  double fast[2]; /* ... and the fast third */
+  double load;    /* part of the total capacity */
+  double slow[2]; /* bounds of the share of all requests that the slow third
+                     gets */
+  double fast[2]; /* the same for the fast third */
 } Speeds;
 
 static const Speeds speeds[] = {
-  /* In proportion it would be 0.2 and 0.47, with keys divided by number a third
-   * each. */
-  { "little is asked for", 0.25, { 0.0, 0.17 }, { 0.4, 1 } },
-  { "much is asked for", 0.9, { 0.14, 0.25 }, { 0.38, 0.55 } },
+  /* In proportion to capacity the shares would be 0.2 and 0.47, with equal
+   * numbers of keys a third each. */
+  { "low load", 0.25, { 0.0, 0.17 }, { 0.4, 1 } },
+  { "high load", 0.9, { 0.14, 0.25 }, { 0.38, 0.55 } },
 };
 
-/* Owners of lasting speeds of 0.6, 1 and 1.4, keys asked for evenly.  Callers
- * of a slow owner's keys wait for it although fast ones idle: when little is
- * asked for, the slow ones are to serve less than their part. */
+/* Guards against requests that wait for slow owners while fast ones are idle:
+ * the owners have constant speeds of 0.6, 1 and 1.4 and evenly loaded keys, and
+ * at low load the slow ones must get less than their proportion. */
 static void
 slow_owners_serve_little_while_fast_ones_idle (void **state)
 {
@@ -402,33 +401,33 @@
     {
       const Speeds *c = &speeds[i];
       double shares[3] = { 0 }, all = 0;
-      World w;
+      Pool pool;
 
-      world_init (&w);
-      plan (&w);
-      settle (&w);
+      pool_init (&pool);
+      plan (&pool);
+      complete_moves (&pool);
       for (guint u = 0; u < UPSTREAMS; u++)
-        w.all[u].capacity = 10 * (0.6 + 0.4 * (u % 3));
+        pool.all[u].capacity = 10 * (0.6 + 0.4 * (u % 3));
       for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
-        add_bucket (&w, b,
+        add_bucket (&pool, b,
                     c->load * 90 * CC_LOAD_DECAY_TIME / CC_SECOND /
                         CC_LOAD_BUCKETS);
-      cc_key_load_decay (&w.load, CC_SECOND);
+      cc_key_load_decay (&pool.load, CC_SECOND);
       for (guint k = 0; k < 10; k++)
         {
-          plan (&w);
-          settle (&w);
+          plan (&pool);
+          complete_moves (&pool);
         }
       for (guint u = 0; u < UPSTREAMS; u++)
         {
-          shares[u % 3] += use_of (&w, u) * w.all[u].capacity;
-          all += use_of (&w, u) * w.all[u].capacity;
+          shares[u % 3] += utilisation (&pool, u) * pool.all[u].capacity;
+          all += utilisation (&pool, u) * pool.all[u].capacity;
         }
       if (shares[0] / all < c->slow[0] || shares[0] / all > c->slow[1] ||
           shares[2] / all < c->fast[0] || shares[2] / all > c->fast[1])
         fail_msg ("%s: slow %.2f, fast %.2f", c->name, shares[0] / all,
                   shares[2] / all);
-      world_clear (&w);
+      pool_clear (&pool);
     }
 }
 
