--- a/key_ranges.c
+++ b/key_ranges.c
@@ -1,5 +1,5 @@
-/* Ranges stand in rows of their own, range/POOL/FROM, so that a move writes the
- * one row that it changes and not the map of a whole pool. */
+/* Each range is stored in a row of its own, range/POOL/FROM, so that a move
+ * writes a single row instead of the map of a whole pool. */
 #include "key_ranges.h"
 
 #include "edge.h"
@@ -8,7 +8,8 @@
 
 #include <json-glib/json-glib.h>
 
-/* Keys FROM to TO for the life BORN of OWNER. */
+/* Creates a range of the keys FROM to TO, owned by the process of OWNER that
+ * started at BORN. */
 CcKeyRange *
 cc_key_range_new (guint from, guint to, const char *owner, guint64 born,
                   guint64 fence)
@@ -23,7 +24,7 @@
   return r;
 }
 
-/* A copy of R. */
+/* Returns a copy of R. */
 CcKeyRange *
 cc_key_range_copy (const CcKeyRange *r)
 {
@@ -48,9 +49,9 @@
   g_free (r);
 }
 
-/* R gets another OWNER; the one of before may hold the keys until it is proved
- * to have stopped.  If R is in the middle of a move already, its OWNER never
- * got the keys, and who had them before stays. */
+/* Gives R to OWNER.  The present owner becomes the previous one, which may hold
+ * the keys until it has provably stopped.  If a move of R is already in
+ * progress, its new owner never got the keys, and the previous owner stays. */
 void
 cc_key_range_move (CcKeyRange *r, const char *owner, guint64 born,
                    guint64 fence)
@@ -66,14 +67,14 @@
   r->fence = fence;
 }
 
-/* The key of R's row.  The caller frees it. */
+/* Returns the key of R's row.  The caller frees it. */
 char *
 cc_key_range_key (const char *pool, const CcKeyRange *r)
 {
   return g_strdup_printf (CC_RANGE_PREFIX "%s/%05u", pool, r->from);
 }
 
-/* The value of R's row.  The caller frees it. */
+/* Returns the value of R's row, JSON.  The caller frees it. */
 char *
 cc_key_range_text (const CcKeyRange *r)
 {
@@ -93,12 +94,12 @@
 }
 
 static guint64
-number_of (JsonObject *o, const char *name)
+get_number (JsonObject *o, const char *name)
 {
   return (guint64) json_object_get_int_member_with_default (o, name, 0);
 }
 
-/* The range in the row KEY, or NULL if VALUE is damaged. */
+/* Decodes the row KEY.  Returns NULL if VALUE is malformed. */
 static CcKeyRange *
 parse_range (const char *key, const char *value, guint64 version)
 {
@@ -113,34 +114,34 @@
   o = json_node_get_object (root);
   r = cc_key_range_new (
       (guint) g_ascii_strtoull (slash + 1, NULL, 10),
-      (guint) number_of (o, "to"),
+      (guint) get_number (o, "to"),
       json_object_get_string_member_with_default (o, "owner", ""),
-      number_of (o, "born"), number_of (o, "fence"));
+      get_number (o, "born"), get_number (o, "fence"));
   previous = json_object_get_string_member_with_default (o, "previous", NULL);
   r->previous = g_strdup (previous);
-  r->previous_fence = number_of (o, "previous_fence");
+  r->previous_fence = get_number (o, "previous_fence");
   r->version = version;
   r->row_to = r->to;
   return r;
 }
 
-/* Makes R empty. */
+/* Initialises R without ranges. */
 void
 cc_key_ranges_init (CcKeyRanges *r)
 {
   r->list = g_ptr_array_new_with_free_func (cc_key_range_free);
 }
 
-/* Frees what R holds. */
+/* Frees the contents of R. */
 void
 cc_key_ranges_clear (CcKeyRanges *r)
 {
   g_clear_pointer (&r->list, g_ptr_array_unref);
 }
 
-/* The place in R of the first range that begins at FROM or later. */
+/* Returns the index in R of the first range that begins at FROM or later. */
 static guint
-place_of (const CcKeyRanges *r, guint from)
+find_index (const CcKeyRanges *r, guint from)
 {
   guint low = 0, high = r->list->len;
 
@@ -156,48 +157,48 @@
   return low;
 }
 
-/* Ends the range at PLACE in R before the next one begins. */
+/* Ends the range at INDEX of R before the next one begins. */
 static void
-bound_range (CcKeyRanges *r, guint place)
+bound_range (CcKeyRanges *r, guint index)
 {
-  CcKeyRange *one, *next;
+  CcKeyRange *range, *next;
 
-  if (place >= r->list->len)
+  if (index >= r->list->len)
     return;
-  one = r->list->pdata[place];
-  next = place + 1 < r->list->len ? r->list->pdata[place + 1] : NULL;
-  one->to =
-      next != NULL && one->row_to >= next->from ? next->from - 1 : one->row_to;
+  range = r->list->pdata[index];
+  next = index + 1 < r->list->len ? r->list->pdata[index + 1] : NULL;
+  range->to = next != NULL && range->row_to >= next->from ? next->from - 1
+                                                          : range->row_to;
 }
 
-/* Takes ROW, which has changed, into R.  Where rows overlap, as they do while a
- * range is split and only a part of the change has been read, the keys belong
- * to the range that begins later.
+/* Updates R with ROW, which was changed or deleted.  While a range is split,
+ * rows overlap if only a part of the change has been received; the overlapping
+ * keys belong to the range that begins later.
  *
- * Load pattern: in a large fleet hundreds of ranges are known to each process,
- * and some of them change several times a second. */
+ * In a large fleet each process keeps hundreds of ranges, some of which change
+ * several times a second, so only the ranges next to ROW are updated. */
 void
 cc_key_ranges_apply_row (CcKeyRanges *r, const CcRow *row)
 {
   const char *slash = strrchr (row->key, '/');
   guint from =
       slash != NULL ? (guint) g_ascii_strtoull (slash + 1, NULL, 10) : 0;
-  guint place = place_of (r, from);
-  CcKeyRange *one = row->value != NULL
-                        ? parse_range (row->key, row->value, row->version)
-                        : NULL;
-
-  if (place < r->list->len &&
-      ((CcKeyRange *) r->list->pdata[place])->from == from)
-    g_ptr_array_remove_index (r->list, place);
-  if (one != NULL)
-    g_ptr_array_insert (r->list, (gint) place, one);
-  bound_range (r, place);
-  if (place > 0)
-    bound_range (r, place - 1);
+  guint index = find_index (r, from);
+  CcKeyRange *range = row->value != NULL
+                          ? parse_range (row->key, row->value, row->version)
+                          : NULL;
+
+  if (index < r->list->len &&
+      ((CcKeyRange *) r->list->pdata[index])->from == from)
+    g_ptr_array_remove_index (r->list, index);
+  if (range != NULL)
+    g_ptr_array_insert (r->list, (gint) index, range);
+  bound_range (r, index);
+  if (index > 0)
+    bound_range (r, index - 1);
 }
 
-/* Replaces R by POOL's ranges in V. */
+/* Replaces the contents of R by POOL's ranges in V. */
 void
 cc_key_ranges_read (CcKeyRanges *r, const CcView *v, const char *pool)
 {
@@ -209,26 +210,26 @@
     cc_key_ranges_apply_row (r, rows->pdata[i]);
 }
 
-/* Keys that no row names go to the owner of those before them.
+/* Assigns keys without a row to the owner of the keys before them.
  *
- * A range that is cut takes two rows.  The process that cut it may have ended
- * after the row of the lower part, and nobody was granted the upper one then:
- * it is still with whom it was cut from. */
+ * A split of a range writes two rows.  If the process that made it terminated
+ * after the row of the lower part was written, the upper part was not granted
+ * to anybody and still belongs to the owner of the whole range. */
 void
 cc_key_ranges_fill_gaps (CcKeyRanges *r)
 {
   for (guint i = 0; i < r->list->len; i++)
     {
-      CcKeyRange *one = r->list->pdata[i];
+      CcKeyRange *range = r->list->pdata[i];
       guint next = i + 1 < r->list->len
                        ? ((CcKeyRange *) r->list->pdata[i + 1])->from
                        : CC_KEYS;
 
-      one->to = next - 1;
+      range->to = next - 1;
     }
 }
 
-/* The range that KEY is in, or NULL. */
+/* Returns the range that contains KEY, or NULL. */
 CcKeyRange *
 cc_key_ranges_find (const CcKeyRanges *r, guint key)
 {
@@ -237,19 +238,19 @@
   while (low < high)
     {
       guint middle = (low + high) / 2;
-      CcKeyRange *one = r->list->pdata[middle];
+      CcKeyRange *range = r->list->pdata[middle];
 
-      if (key < one->from)
+      if (key < range->from)
         high = middle;
-      else if (key > one->to)
+      else if (key > range->to)
         low = middle + 1;
       else
-        return one;
+        return range;
     }
   return NULL;
 }
 
-/* The highest fence of all. */
+/* Returns the highest fence of the ranges, or 0. */
 guint64
 cc_key_ranges_top_fence (const CcKeyRanges *r)
 {
--- a/key_ranges.h
+++ b/key_ranges.h
@@ -6,25 +6,27 @@
 
 #define CC_RANGE_PREFIX "range/"
 
-/* Keys FROM to TO, both included, and their owner. */
+/* A range of keys, FROM to TO inclusive, and its owner. */
 typedef struct
 {
   guint from;
   guint to;
-  char *owner;    /* id of an upstream */
-  guint64 born;   /* the life of the owner that the keys are meant for */
-  guint64 fence;  /* counts the holders; rises with each change */
-  char *previous; /* who may still hold them; NULL: nobody but the owner */
+  char *owner;   /* id of an upstream */
+  guint64 born;  /* start of the owner's process, which a grant must match */
+  guint64 fence; /* rises with each change of owner */
+  char
+      *previous; /* previous owner, which may still hold the keys; NULL: none */
   guint64 previous_fence;
-  guint64 version; /* of the row; 0: not written yet */
-  guint row_to;    /* the last key by the row; TO may be less */
-  /* Not in the row: */
-  gboolean settling; /* moved lately, not to be moved for load */
-  gboolean
-      locked; /* a call about it is in progress, not to be changed at all */
+  guint64 version; /* of the row; 0: not written */
+  guint row_to;    /* last key by the row; TO is less if another range begins
+                      before */
+  /* Set by granted_pool.c before a plan, not in the row: */
+  gboolean settling; /* not granted yet or moved recently; not moved for load */
+  gboolean locked; /* not changed at all, because a call is pending or its owner
+                      unconfirmed */
 } CcKeyRange;
 
-/* The ranges of one pool, in order of keys, without overlap. */
+/* The ranges of one pool, ordered by key, without overlap. */
 typedef struct
 {
   GPtrArray *list; /* of CcKeyRange */
--- a/test/test_key_ranges.c
+++ b/test/test_key_ranges.c
@@ -1,4 +1,4 @@
-/* Ranges that are taken row by row, against a look at all rows for each key. */
+/* Compares ranges that are updated row by row with a search of all rows. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,13 +14,13 @@
 #define FROMS 12 /* ranges begin at multiples of WIDTH */
 #define WIDTH 10
 
-/* The last key of the row that begins at each place; 0: there is none. */
+/* Last key of the row that begins at each multiple of WIDTH; 0: no row. */
 typedef struct
 {
   guint to[FROMS];
 } Model;
 
-/* Where the range that KEY is in begins; -1: it is in none. */
+/* Returns the first key of the range that contains KEY, or -1. */
 static gint
 model_find (const Model *m, guint key)
 {
@@ -32,8 +32,8 @@
   return found >= 0 && key <= m->to[found] ? found * WIDTH : -1;
 }
 
-/* Loads: a range is cut, moved, joined to its neighbour, and rows come in any
- * order.  Guards against a key that is sent to an owner of before. */
+/* Guards against keys that are routed to a previous owner: splits, moves,
+ * deletions and rows in any order. */
 static void
 rows_in_any_order_are_the_same_ranges (void **state)
 {
