--- a/key_load.c
+++ b/key_load.c
@@ -1,26 +1,32 @@
-/* Load pattern: from one second to the next a small region of keys gets half of
- * all requests, for five seconds.  A mean over two seconds shows a third of
- * that after 0.8 s; keys that are spread by it are cut into pieces three times
- * as busy as they seem, and those pieces may not move again at once.
+/* Request rates that follow a sudden hot region of keys quickly without taking
+ * random variation for load.
  *
- * So two means are kept, and a bucket's rate is the higher of the slow one and
- * of what the fast one shows for sure: less CERTAINTY times the deviation that
- * chance gives it, by its own count or by that of its neighbourhood, since busy
- * keys lie side by side. */
+ * The load on which the design rests: from one second to the next a small
+ * region of keys gets half of all requests, for five seconds.  A mean over two
+ * seconds shows only a third of that rate after 0.8 s.  Ranges split by such a
+ * rate would have three times the expected load, and could not be moved again
+ * at once.
+ *
+ * So two decaying counts are kept for each bucket, a slow and a fast one.  The
+ * rate of a bucket is the higher of the slow rate and the lower confidence
+ * bound of the fast one: the fast count less CONFIDENCE standard deviations.
+ * The bound is computed from the bucket's own count or from that of its
+ * neighbourhood, since hot keys are adjacent. */
 #include "key_load.h"
 
 #include <math.h>
 
-/* Deviations below the fast mean that count as sure: of 15 buckets one may seem
- * busier than it is. */
-#define CERTAINTY 1.5
-/* Buckets on each side that tell about one between them. */
-#define NEIGHBOURS 4
-/* Requests that each key of a bucket is credited with beside its own: below
- * some four, one key's count says nothing. */
+/* Standard deviations that are subtracted from a fast count.  With 1.5 about
+ * one bucket in 15 shows more than its true rate. */
+#define CONFIDENCE 1.5
+/* Buckets on each side that form the neighbourhood of a bucket. */
+#define NEIGHBOUR_BUCKETS 4
+/* Requests that are added to each key's count when the rate of a bucket is
+ * divided among its keys, since counts below about four say nothing of a single
+ * key. */
 #define KEY_CREDIT 0.25
-/* A bucket with less than this lately is no part of a busy region. */
-#define RECENT_LEAST 0.5
+/* Least fast count of a bucket in a hot region. */
+#define HOT_REGION_MIN 0.5
 
 static double
 per_second (double count, gint64 time)
@@ -28,110 +34,113 @@
   return count * (double) CC_SECOND / (double) time;
 }
 
-/* The part of COUNT, faded, that chance does not explain: its variance is half
- * of it. */
+/* Returns the lower confidence bound of COUNT, a decayed count.  Its variance
+ * is half of it. */
 static double
-sure (double count)
+lower_bound (double count)
 {
-  return MAX (count - CERTAINTY * sqrt (count / 2), 0.0);
+  return MAX (count - CONFIDENCE * sqrt (count / 2), 0.0);
 }
 
 static double
-around (const CcKeyLoad *h, guint bucket)
+neighbourhood_count (const CcKeyLoad *l, guint bucket)
 {
-  guint from = bucket > NEIGHBOURS ? bucket - NEIGHBOURS : 0;
-  guint to = MIN (bucket + NEIGHBOURS, CC_LOAD_BUCKETS - 1);
+  guint from = bucket > NEIGHBOUR_BUCKETS ? bucket - NEIGHBOUR_BUCKETS : 0;
+  guint to = MIN (bucket + NEIGHBOUR_BUCKETS, CC_LOAD_BUCKETS - 1);
   double sum = 0;
 
   for (guint b = from; b <= to; b++)
-    sum += h->recent[b];
-  return sure (sum) / (to - from + 1);
+    sum += l->recent[b];
+  return lower_bound (sum) / (to - from + 1);
 }
 
 static double
-rate_of (const CcKeyLoad *h, guint bucket)
+rate_of (const CcKeyLoad *l, guint bucket)
 {
-  double recent = sure (h->recent[bucket]);
+  double recent = lower_bound (l->recent[bucket]);
 
-  if (h->recent[bucket] >= RECENT_LEAST)
-    recent = MAX (recent, around (h, bucket));
-  return MAX (per_second (h->count[bucket], CC_LOAD_DECAY_TIME),
+  if (l->recent[bucket] >= HOT_REGION_MIN)
+    recent = MAX (recent, neighbourhood_count (l, bucket));
+  return MAX (per_second (l->count[bucket], CC_LOAD_DECAY_TIME),
               per_second (recent, CC_LOAD_RECENT_DECAY_TIME));
 }
 
-/* Fades all counts to NOW, us, and draws the rates from them. */
+/* Decays all counts to NOW, us, and updates the rates.  To be called before
+ * rates are read. */
 void
-cc_key_load_decay (CcKeyLoad *h, gint64 now)
+cc_key_load_decay (CcKeyLoad *l, gint64 now)
 {
-  double passed = h->faded_at == 0 ? 0.0 : (double) (now - h->faded_at);
+  double passed = l->decayed_at == 0 ? 0.0 : (double) (now - l->decayed_at);
   double slow = exp (-passed / CC_LOAD_DECAY_TIME);
   double fast = exp (-passed / CC_LOAD_RECENT_DECAY_TIME);
 
   for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
     {
-      h->count[b] *= slow;
-      h->recent[b] *= fast;
+      l->count[b] *= slow;
+      l->recent[b] *= fast;
     }
   for (guint k = 0; k < CC_LOAD_KEYS; k++)
-    h->keys[k] *= (float) slow;
+    l->keys[k] *= (float) slow;
   for (guint b = 0; b < CC_LOAD_BUCKETS; b++)
-    h->sums[b + 1] = h->sums[b] + rate_of (h, b);
-  h->faded_at = now;
+    l->sums[b + 1] = l->sums[b] + rate_of (l, b);
+  l->decayed_at = now;
 }
 
-/* COUNT requests came for KEY just now. */
+/* Adds COUNT requests for KEY, received just now. */
 void
-cc_key_load_add (CcKeyLoad *h, guint key, double count)
+cc_key_load_add (CcKeyLoad *l, guint key, double count)
 {
   if (key >= CC_LOAD_KEYS)
     return;
-  h->count[key / CC_LOAD_BUCKET] += count;
-  h->recent[key / CC_LOAD_BUCKET] += count;
-  h->keys[key] += (float) count;
+  l->count[key / CC_LOAD_BUCKET] += count;
+  l->recent[key / CC_LOAD_BUCKET] += count;
+  l->keys[key] += (float) count;
 }
 
-/* The part of its bucket's requests that come for the keys before KEY. */
+/* Returns the share of the requests for KEY's bucket that are for keys before
+ * KEY. */
 static double
-part_below (const CcKeyLoad *h, guint key)
+share_below (const CcKeyLoad *l, guint key)
 {
   guint first = key - key % CC_LOAD_BUCKET;
   double below = 0, all = 0;
 
   for (guint k = first; k < first + CC_LOAD_BUCKET; k++)
     {
-      double one = (double) h->keys[k] + KEY_CREDIT;
+      double weight = (double) l->keys[k] + KEY_CREDIT;
 
-      all += one;
-      below += k < key ? one : 0;
+      all += weight;
+      below += k < key ? weight : 0;
     }
   return below / all;
 }
 
-/* Requests a second for the keys below KEY. */
+/* Returns the rate of the keys below KEY, requests a second. */
 static double
-rate_below (const CcKeyLoad *h, guint key)
+rate_below (const CcKeyLoad *l, guint key)
 {
   guint b = key / CC_LOAD_BUCKET;
 
   if (key >= CC_LOAD_KEYS)
-    return h->sums[CC_LOAD_BUCKETS];
+    return l->sums[CC_LOAD_BUCKETS];
   if (key % CC_LOAD_BUCKET == 0)
-    return h->sums[b];
-  return h->sums[b] + part_below (h, key) * (h->sums[b + 1] - h->sums[b]);
+    return l->sums[b];
+  return l->sums[b] + share_below (l, key) * (l->sums[b + 1] - l->sums[b]);
 }
 
-/* Requests a second for the keys FROM to TO, both included. */
+/* Returns the rate of the keys FROM to TO inclusive, requests a second. */
 double
-cc_key_load_rate (const CcKeyLoad *h, guint from, guint to)
+cc_key_load_rate (const CcKeyLoad *l, guint from, guint to)
 {
-  return rate_below (h, to + 1) - rate_below (h, from);
+  return rate_below (l, to + 1) - rate_below (l, from);
 }
 
-/* How many keys at one end of FROM to TO, at its beginning if AT_HEAD, get RATE
- * requests a second at most, where each key counts for PER_KEY more.  At least
- * one and not all. */
+/* Returns how many keys at one end of the range FROM to TO, at its beginning if
+ * AT_HEAD, together have a rate of at most RATE, requests a second.  PER_KEY is
+ * added to the rate of each key.  The result is at least 1 and less than the
+ * number of keys. */
 guint
-cc_key_load_split (const CcKeyLoad *h, guint from, guint to, gboolean at_head,
+cc_key_load_split (const CcKeyLoad *l, guint from, guint to, gboolean at_head,
                    double rate, double per_key)
 {
   guint low = 1, high = to - from; /* keys */
@@ -139,10 +148,11 @@
   while (low < high)
     {
       guint keys = low + (high - low + 1) / 2;
-      double found = at_head ? cc_key_load_rate (h, from, from + keys - 1)
-                             : cc_key_load_rate (h, to - keys + 1, to);
+      double rate_of_part = at_head
+                                ? cc_key_load_rate (l, from, from + keys - 1)
+                                : cc_key_load_rate (l, to - keys + 1, to);
 
-      if (found + per_key * keys > rate)
+      if (rate_of_part + per_key * keys > rate)
         high = keys - 1;
       else
         low = keys;
--- a/test/test_key_load.c
+++ b/test/test_key_load.c
@@ -1,6 +1,6 @@
-/* How fast and how surely a region that turns busy is seen.  What callers would
- * see if it failed: keys cut into pieces that are still too busy, and the
- * requests for them late for the seconds that the rush lasts. */
+/* Checks how fast and how exactly the rate of a sudden hot region is measured.
+ * Guards against ranges that are split into pieces with too much load, because
+ * the measured rate rises too slowly. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,35 +11,35 @@
 
 #include "key_load.h"
 
-#define PERIOD (400 * CC_MS) /* of reports */
+#define PERIOD (400 * CC_MS) /* of load reports */
 #define SEEDS 200
 
 typedef struct
 {
   const char *name;
   double all;    /* requests a second for all keys */
-  double busy;   /* beside them, for the busy region */
-  guint buckets; /* of the region */
-  gint64 after;  /* of the rush, us */
-  double least;  /* part of the true rate that is seen, in the mean */
+  double hot;    /* further requests a second for the hot region */
+  guint buckets; /* size of the region */
+  gint64 after;  /* time since the region became hot, us */
+  double least;  /* bounds of the measured part of the true rate, on average */
   double most;
 } Case;
 
 static const Case cases[] = {
-  /* A mean over two seconds alone sees 0.18, 0.33 and 0.63 of it. */
+  /* A mean over two seconds alone would measure 0.18, 0.33 and 0.63. */
   { "small fleet, 0.4 s", 100, 70, 13, 400 * CC_MS, 0.30, 0.8 },
   { "small fleet, 0.8 s", 100, 70, 13, 800 * CC_MS, 0.50, 1.0 },
   { "small fleet, 2 s", 100, 70, 13, 2000 * CC_MS, 0.65, 1.2 },
   { "large fleet, 0.4 s", 1000, 380, 13, 400 * CC_MS, 0.40, 0.7 },
   { "large fleet, 0.8 s", 1000, 380, 13, 800 * CC_MS, 0.62, 0.9 },
   { "one bucket, 0.4 s", 1000, 280, 1, 400 * CC_MS, 0.35, 0.65 },
-  /* Where nothing changes, hardly more is seen than there is. */
+  /* Under constant load the measured rate is close to the true one. */
   { "steady and even", 1000, 0, 0, 8 * CC_SECOND, 0.9, 1.25 },
   { "steady and busy", 1000, 380, 13, 8 * CC_SECOND, 0.9, 1.2 },
 };
 
-/* Adds what comes in one period: RATE a second, spread over the keys of BUCKETS
- * from FROM on. */
+/* Adds the requests of one period: RATE a second, spread over the keys of
+ * BUCKETS buckets from FROM on. */
 static void
 add (CcKeyLoad *h, GRand *rand, double rate, guint from, guint buckets)
 {
@@ -53,37 +53,38 @@
                      1);
 }
 
-/* The part of the true rate that is seen: of the region, or of all. */
+/* Returns the measured part of the true rate, of the region or, without one, of
+ * all keys. */
 static double
-seen (const Case *c, guint seed)
+measured_part (const Case *c, guint seed)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
   g_autofree CcKeyLoad *h = g_new0 (CcKeyLoad, 1);
   gint64 now = 1;
   double even = c->all * c->buckets / CC_LOAD_BUCKETS;
 
-  for (gint64 past = 0; past < 8 * CC_SECOND; past += PERIOD)
+  for (gint64 elapsed = 0; elapsed < 8 * CC_SECOND; elapsed += PERIOD)
     {
       cc_key_load_decay (h, now += PERIOD);
       add (h, rand, c->all, 0, CC_LOAD_BUCKETS);
     }
-  for (gint64 past = 0; past < c->after; past += PERIOD)
+  for (gint64 elapsed = 0; elapsed < c->after; elapsed += PERIOD)
     {
       cc_key_load_decay (h, now += PERIOD);
       add (h, rand, c->all, 0, CC_LOAD_BUCKETS);
-      if (c->busy > 0)
-        add (h, rand, c->busy, 500, c->buckets);
+      if (c->hot > 0)
+        add (h, rand, c->hot, 500, c->buckets);
     }
   cc_key_load_decay (h, now);
-  if (c->busy == 0)
+  if (c->hot == 0)
     return cc_key_load_rate (h, 0, 65535) / c->all;
   return cc_key_load_rate (h, 500 * CC_LOAD_BUCKET,
                            (500 + c->buckets) * CC_LOAD_BUCKET - 1) /
-         (c->busy + even);
+         (c->hot + even);
 }
 
 static void
-a_rush_is_seen_soon_and_chance_is_not_one (void **state)
+a_hot_region_is_detected_soon_and_noise_is_not (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -91,16 +92,16 @@
       double sum = 0;
 
       for (guint seed = 0; seed < SEEDS; seed++)
-        sum += seen (&cases[i], seed);
+        sum += measured_part (&cases[i], seed);
       sum /= SEEDS;
       if (sum < cases[i].least || sum > cases[i].most)
         fail_msg ("%s: %.2f of the true rate", cases[i].name, sum);
     }
 }
 
-/* Pieces that are cut off hold about what was asked for, at either end. */
+/* Guards against splits whose rate is not the requested one, at either end. */
 static void
-a_cut_holds_what_was_asked_for (void **state)
+a_split_has_the_requested_rate (void **state)
 {
   static const struct
   {
@@ -109,15 +110,15 @@
     double rate;
     guint keys;
   } table[] = {
-    /* 100 a second on 1600 keys, evenly */
+    /* 100 requests a second, evenly on 1600 keys */
     { 0, 1599, FALSE, 50.01, 800 },
     { 0, 1599, TRUE, 25.01, 400 },
     { 0, 1599, FALSE, 1000, 1599 },
     { 0, 1599, FALSE, 0, 1 },
     { 0, 15, FALSE, 0.51, 8 },
     { 8, 9, FALSE, 5, 1 },
-    /* 90 a second on key 2005 alone, beside 1 a second on its bucket's others
-     */
+    /* 90 requests a second on key 2005, and 1 on the other keys of its
+     * bucket */
     { 2000, 2015, FALSE, 5, 10 },
     { 2000, 2015, TRUE, 5, 5 },
     { 2005, 2015, TRUE, 5, 1 },
@@ -145,8 +146,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_rush_is_seen_soon_and_chance_is_not_one),
-    cmocka_unit_test (a_cut_holds_what_was_asked_for),
+    cmocka_unit_test (a_hot_region_is_detected_soon_and_noise_is_not),
+    cmocka_unit_test (a_split_has_the_requested_rate),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
