--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -1,6 +1,6 @@
-/* The servers take grants as the users' do.  After every step no key may be
- * held by two servers, and no server may take a key with a fence that another
- * had before. */
+/* Servers handle grants as the callers' servers do.  After every step the
+ * simulation fails if two servers hold the same key, or if a server accepted a
+ * key with a fence that another had before. */
 #include "granter_world.h"
 
 #include <stdarg.h>
@@ -19,18 +19,18 @@
 World world;
 
 static gint64
-ms (gint low, gint high)
+random_ms (gint low, gint high)
 {
   return g_rand_int_range (world.rand, low, high) * CC_MS;
 }
 
 static gboolean
-chance (double share)
+random_bool (double share)
 {
   return g_rand_double (world.rand) < share;
 }
 
-/* The first failure counts. */
+/* Records a failure; only the first one is kept. */
 void
 world_fail (const char *format, ...)
 {
@@ -46,7 +46,7 @@
 static guint
 pool_of (guint server)
 {
-  return server >= world.count - world.kind.later ? 1 : 0;
+  return server >= world.count - world.kind.later_servers ? 1 : 0;
 }
 
 static const char *
@@ -63,7 +63,8 @@
   return a->from <= b->to && b->from <= a->to;
 }
 
-/* Keys from which and to which fences are remembered. */
+/* Unless all faults are simulated, fences are recorded for every STRIDE-th key
+ * only. */
 #define STRIDE 512
 
 typedef struct
@@ -72,7 +73,7 @@
   guint server;
 } Fence;
 
-/* Keys that were last had with FENCE, the highest that any had. */
+/* Keys with the highest fence that was accepted for them. */
 typedef struct
 {
   guint from, to;
@@ -81,7 +82,7 @@
   guint64 born;
 } FencePart;
 
-/* No part of PARTS goes beyond KEY from below it. */
+/* Splits the part of PARTS that contains KEY before KEY. */
 static void
 split_parts (GArray *parts, guint key)
 {
@@ -114,7 +115,7 @@
                     "it with %u",
                     p->from, (guint) born, server, (guint) h->fence,
                     (guint) p->born, (guint) p->fence);
-      world.same_fences += p->fence == h->fence;
+      world.repeated_fences += p->fence == h->fence;
     }
   if (h->fence > p->fence)
     {
@@ -124,7 +125,7 @@
     }
 }
 
-/* Each key that SERVER takes with H. */
+/* Checks the fence of each key that SERVER accepts with H. */
 static void
 check_fence_strictly (guint server, const Held *h)
 {
@@ -144,7 +145,7 @@
 static void
 check_fence (guint server, const Held *h)
 {
-  if (world.kind.many)
+  if (world.kind.all_faults)
     {
       check_fence_strictly (server, h);
       return;
@@ -167,7 +168,7 @@
     }
 }
 
-/* Returns the status of the answer. */
+/* Handles a grant at SERVER.  Returns the status of the response. */
 static guint
 take_grant (guint server, const Held *h)
 {
@@ -235,7 +236,7 @@
                                          : (gint) x->server - (gint) y->server;
 }
 
-/* What all servers hold at NOW, by the first key. */
+/* Lists what all servers hold at NOW, ordered by the first key. */
 static GArray *
 list_holdings (gint64 now)
 {
@@ -284,14 +285,14 @@
   g_ptr_array_add (world.events, g_memdup2 (e, sizeof *e));
 }
 
-/* Status of an answer by a server that a call was not meant for. */
-#define ANOTHER_IS_HERE 421
+/* Status of a response by a server for which the call was not meant. */
+#define STATUS_MISDIRECTED 421
 
-/* How long an idle connection is kept at most. */
-#define IDLE_MOST (10 * CC_SECOND)
+/* Longest time for which an idle connection is kept. */
+#define MAX_IDLE (10 * CC_SECOND)
 
-/* Drops connections of P that have been idle for long, and those to a life that
- * has ended: who is on such a one learns that by a reset. */
+/* Drops connections of P that have been idle for too long, and those to a
+ * server process that has terminated, which are reset. */
 static void
 drop_connections (Process *p, gint64 now)
 {
@@ -301,13 +302,13 @@
       const Server *s = &world.servers[c->server];
 
       if (!s->up || s->born != c->born ||
-          (!c->busy && now - c->idle_since > IDLE_MOST))
+          (!c->busy && now - c->idle_since > MAX_IDLE))
         g_array_remove_index (p->connections, i--);
     }
 }
 
-/* The connection of P to SERVER for O, which is busy from now on; NULL: there
- * is none that stood as early as O asks for. */
+/* Returns the connection of P to SERVER for O and marks it as busy, or NULL if
+ * O requires an older one than there is. */
 static Connection *
 take_connection (Process *p, guint server, const CcHttpOrder *o)
 {
@@ -335,8 +336,8 @@
   return &g_array_index (p->connections, Connection, p->connections->len - 1);
 }
 
-/* The call on the connection SERIAL of P has ended.  A connection without an
- * answer is not used again. */
+/* Ends the call on the connection SERIAL of P.  A connection without a response
+ * is not used again. */
 static void
 return_connection (Process *p, guint serial, gboolean answered)
 {
@@ -384,27 +385,27 @@
   e.server = server;
   e.connection = connection->serial;
   e.connected_at = connection->connected_at;
-  e.same_life = o->connected_by > 0;
+  e.same_process = o->connected_by > 0;
   e.settled = g_new0 (gboolean, 1);
-  if (world.kind.many && connection->connected_at == now &&
+  if (world.kind.all_faults && connection->connected_at == now &&
       (p->cut_from[server] ||
        !(world.servers[server].up || world.servers[server].replaced)))
     {
-      /* Nobody answers there, or nobody listens. */
+      /* No response to the connection attempt, or it is refused. */
       e.kind = EVENT_UNSENT;
-      e.at = now + (p->cut_from[server] ? o->connect_within : ms (1, 4));
+      e.at = now + (p->cut_from[server] ? o->connect_within : random_ms (1, 4));
       push_event (&e);
       return (CcHttpCall *) done;
     }
   e.at = now + o->answer_within;
-  e.kind = EVENT_LATE;
+  e.kind = EVENT_TIMED_OUT;
   push_event (&e);
   e.kind = EVENT_ARRIVES;
   e.born = world.servers[e.server].born;
-  e.at = now + ms (1, 4);
+  e.at = now + random_ms (1, 4);
   if (!p->cut_from[e.server] &&
       (world.servers[e.server].up || world.servers[e.server].replaced) &&
-      !chance (world.faults / 2))
+      !random_bool (world.faults / 2))
     push_event (&e);
   return (CcHttpCall *) done;
 }
@@ -433,42 +434,42 @@
   if (s->replaced)
     {
       next.kind = EVENT_ANSWERED;
-      next.at = now + ms (1, 4);
-      next.status = ANOTHER_IS_HERE;
+      next.at = now + random_ms (1, 4);
+      next.status = STATUS_MISDIRECTED;
       push_event (&next);
       return;
     }
-  if (!s->up || (e->same_life && s->born != e->born))
+  if (!s->up || (e->same_process && s->born != e->born))
     return;
   next.kind = EVENT_ANSWERED;
   next.arrived = now;
   next.what.until = now + next.what.until * CC_MS * 102 / 100;
-  next.at = now + ms (1, 4);
+  next.at = now + random_ms (1, 4);
   next.status = 200;
   if (e->is_release)
     {
       take_release (e->server, &e->what);
-      next.at += ms (0, 400);
+      next.at += random_ms (0, 400);
     }
-  else if (s->carries_after > 0)
+  else if (s->execute_after > 0)
     {
-      next.kind = EVENT_CARRIED;
-      next.at = now + s->carries_after;
+      next.kind = EVENT_EXECUTED;
+      next.at = now + s->execute_after;
     }
-  else if (chance (world.faults / 2))
+  else if (random_bool (world.faults / 2))
     {
-      /* No answer, and carried out late. */
-      next.kind = EVENT_CARRIED;
-      next.at = now + ms (500, 8000);
+      /* No response, and executed late. */
+      next.kind = EVENT_EXECUTED;
+      next.at = now + random_ms (500, 8000);
     }
   else
     next.status = take_grant (e->server, &next.what);
-  if (next.kind == EVENT_CARRIED || !chance (world.faults / 2))
+  if (next.kind == EVENT_EXECUTED || !random_bool (world.faults / 2))
     push_event (&next);
 }
 
 static void
-carry_out (Event *e, gint64 now)
+execute_late (Event *e, gint64 now)
 {
   if (world.servers[e->server].up && world.servers[e->server].born == e->born &&
       e->what.until > now)
@@ -491,21 +492,21 @@
   e->done (&r, e->data);
 }
 
-/* Returns FALSE if E is to wait, for its process is frozen. */
+/* Runs E.  Returns FALSE if it has to wait because its process is paused. */
 static gboolean
-play (Event *e, gint64 now)
+run_event (Event *e, gint64 now)
 {
-  gboolean at_process = e->kind != EVENT_ARRIVES && e->kind != EVENT_CARRIED;
+  gboolean at_process = e->kind != EVENT_ARRIVES && e->kind != EVENT_EXECUTED;
 
-  if (at_process && world.processes[e->process].frozen_until > now)
+  if (at_process && world.processes[e->process].paused_until > now)
     return FALSE;
   switch (e->kind)
     {
     case EVENT_ARRIVES:
       arrive (e, now);
       break;
-    case EVENT_CARRIED:
-      carry_out (e, now);
+    case EVENT_EXECUTED:
+      execute_late (e, now);
       break;
     case EVENT_ANSWERED:
       settle (e, CC_HTTP_ANSWERED);
@@ -513,7 +514,7 @@
     case EVENT_UNSENT:
       settle (e, CC_HTTP_UNSENT);
       break;
-    case EVENT_LATE:
+    case EVENT_TIMED_OUT:
       settle (e, CC_HTTP_LATE);
       break;
     }
@@ -524,9 +525,9 @@
 
 struct CcTableChange
 {
-  GPtrArray *expect; /* of row names, with versions in VERSIONS */
+  GPtrArray *expect; /* of row names; their versions are in VERSIONS */
   GArray *versions;
-  GPtrArray *puts; /* names and values by turns */
+  GPtrArray *puts; /* names and values, alternating */
 };
 
 static char *
@@ -563,7 +564,7 @@
 }
 
 static void
-answer_later (StoreAnswer a)
+push_answer (StoreAnswer a)
 {
   a.process = world.running;
   a.by = world.processes[world.running].granter;
@@ -603,41 +604,42 @@
   g_free (c);
 }
 
-/* How long a write of the running process is on its way, us; 0: not at all. */
+/* Returns the time until a write of the running process is executed, us; 0: at
+ * once. */
 static gint64
-write_takes (void)
+write_delay (void)
 {
-  gint64 takes = world.processes[world.running].write_takes;
+  gint64 delay = world.processes[world.running].write_delay;
 
-  if (takes != 0)
-    return takes;
-  if (world.kind.table_takes == 0)
+  if (delay != 0)
+    return delay;
+  if (world.kind.table_delay_max == 0)
     return 0;
-  /* Some are carried out long after they were given up. */
-  if (chance (world.faults / 4))
-    return ms (500, 5000);
-  return ms (4, (gint) (world.kind.table_takes / CC_MS));
+  /* Some are executed long after their timeout. */
+  if (random_bool (world.faults / 4))
+    return random_ms (500, 5000);
+  return random_ms (4, (gint) (world.kind.table_delay_max / CC_MS));
 }
 
-/* C is carried out TAKES later. */
+/* Schedules the execution of C in DELAY us. */
 static void
 commit_later (CcTableChange *c, CcTableChanged done, gpointer data,
-              gint64 takes)
+              gint64 delay)
 {
   gint64 now = cc_clock_now ();
   StoreAnswer a = { .is_write = TRUE,
                     .changed_done = done,
                     .data = data,
                     .change = c,
-                    .carried_at = now + takes,
-                    .at = now + takes + ms (2, 6) };
+                    .executed_at = now + delay,
+                    .at = now + delay + random_ms (2, 6) };
 
-  if (takes >= TABLE_WITHIN || chance (world.faults / 2))
+  if (delay >= TABLE_TIMEOUT || random_bool (world.faults / 2))
     {
       a.status = CC_UNKNOWN;
-      a.at = now + TABLE_WITHIN;
+      a.at = now + TABLE_TIMEOUT;
     }
-  answer_later (a);
+  push_answer (a);
 }
 
 void
@@ -646,28 +648,28 @@
 {
   StoreAnswer a = { .is_write = TRUE, .changed_done = done, .data = data };
 
-  gint64 takes = write_takes ();
+  gint64 delay = write_delay ();
 
   (void) t;
-  if (takes > 0 && !world.processes[world.running].cut_from_table)
+  if (delay > 0 && !world.processes[world.running].cut_from_table)
     {
-      commit_later (c, done, data, takes);
+      commit_later (c, done, data, delay);
       return;
     }
-  a.at = cc_clock_now () + ms (4, 12);
+  a.at = cc_clock_now () + random_ms (4, 12);
   if (world.processes[world.running].cut_from_table)
     a.status = CC_UNKNOWN;
   else
     {
       a.status = apply_change (c);
       a.version = world.version;
-      if (chance (world.faults / 2))
+      if (random_bool (world.faults / 2))
         a.status = CC_UNKNOWN;
     }
   if (a.status == CC_UNKNOWN)
-    a.at += TABLE_WITHIN;
+    a.at += TABLE_TIMEOUT;
   change_free (c);
-  answer_later (a);
+  push_answer (a);
 }
 
 void
@@ -689,18 +691,18 @@
                              ((StoreRow *) v)->version,
                              ((StoreRow *) v)->value);
   a.rows = g_variant_ref_sink (g_variant_builder_end (&b));
-  a.at = cc_clock_now () + ms (4, 12);
-  if (world.kind.table_takes > 0)
-    a.at += ms (0, (gint) (world.kind.table_takes / CC_MS));
+  a.at = cc_clock_now () + random_ms (4, 12);
+  if (world.kind.table_delay_max > 0)
+    a.at += random_ms (0, (gint) (world.kind.table_delay_max / CC_MS));
   if (world.processes[world.running].cut_from_table)
     a.status = CC_UNREACHABLE;
-  answer_later (a);
+  push_answer (a);
 }
 
 static gboolean
-play_answer (StoreAnswer *a, gint64 now)
+deliver_answer (StoreAnswer *a, gint64 now)
 {
-  if (world.processes[a->process].frozen_until > now)
+  if (world.processes[a->process].paused_until > now)
     return FALSE;
   if (is_running (a->process, a->by))
     {
@@ -715,11 +717,11 @@
   return TRUE;
 }
 
-/* Returns TRUE when A has done all that it does. */
+/* Advances A.  Returns TRUE when it is delivered and executed. */
 static gboolean
 step_answer (StoreAnswer *a, gint64 now)
 {
-  if (a->change != NULL && a->carried_at <= now)
+  if (a->change != NULL && a->executed_at <= now)
     {
       CcStatus status = apply_change (a->change);
 
@@ -730,9 +732,9 @@
           a->version = world.version;
         }
     }
-  if (!a->told && a->at <= now)
-    a->told = play_answer (a, now);
-  return a->told && a->change == NULL;
+  if (!a->delivered && a->at <= now)
+    a->delivered = deliver_answer (a, now);
+  return a->delivered && a->change == NULL;
 }
 
 /* ---- processes ---- */
@@ -756,13 +758,13 @@
 }
 
 static void
-note_change (const CcTarget *t, gpointer data)
+set_flag (const CcTarget *t, gpointer data)
 {
   (void) t;
   *(gboolean *) data = TRUE;
 }
 
-/* The process learns how the servers are now, if it can. */
+/* Updates P's list of servers, unless it is cut off from the table. */
 void
 world_list_servers (Process *p, gint64 now)
 {
@@ -781,12 +783,12 @@
       cc_view_put (&p->view, s->id, ++world.version,
                    s->up && !p->unlisted[i] ? value : NULL);
     }
-  cc_targets_update (&p->targets, &listed, decode, now, note_change, &changed);
+  cc_targets_update (&p->targets, &listed, decode, now, set_flag, &changed);
   if (changed)
     cc_granter_targets_changed (p->granter, 0);
 }
 
-/* P's configuration has the first POOLS pools. */
+/* Configures P with the first POOLS pools. */
 static void
 configure (Process *p, guint pools)
 {
@@ -802,17 +804,18 @@
   cc_routes_free (routes);
 }
 
-/* The configuration of process INDEX gets LATER_POOL. */
+/* Adds LATER_POOL to the configuration of process INDEX. */
 void
 world_add_pool (guint index)
 {
-  world.processes[index].has_later = TRUE;
+  world.processes[index].has_later_pool = TRUE;
   configure (&world.processes[index], 2);
 }
 
-/* The others hear of a renewal a moment later, some of them much later. */
+/* Sends a renewal to the other processes; some receive it much later or not at
+ * all. */
 static void
-tell_renewed (guint64 version, gint64 sent, GVariant *rows, gpointer data)
+send_renewal (guint64 version, gint64 sent, GVariant *rows, gpointer data)
 {
   gint64 now = cc_clock_now ();
 
@@ -821,10 +824,11 @@
     {
       Renewal n = { .process = i, .version = version };
 
-      if (i == GPOINTER_TO_UINT (data) || chance (world.faults))
+      if (i == GPOINTER_TO_UINT (data) || random_bool (world.faults))
         continue;
-      n.at = now + (chance (world.faults) ? ms (300, 4000) : ms (1, 60));
-      n.seen_at = sent + ms (0, (gint) ((n.at - sent) / CC_MS) + 1);
+      n.at = now + (random_bool (world.faults) ? random_ms (300, 4000)
+                                               : random_ms (1, 60));
+      n.received_at = sent + random_ms (0, (gint) ((n.at - sent) / CC_MS) + 1);
       g_ptr_array_add (world.renewals, g_memdup2 (&n, sizeof n));
     }
 }
@@ -837,16 +841,16 @@
       Renewal *n = world.renewals->pdata[i];
       const Process *p = &world.processes[n->process];
 
-      if (n->at > now || p->frozen_until > now)
+      if (n->at > now || p->paused_until > now)
         continue;
       world.running = n->process;
-      cc_granter_lease_received (p->granter, n->version, n->seen_at);
+      cc_granter_lease_received (p->granter, n->version, n->received_at);
       g_ptr_array_remove_index (world.renewals, i--);
       g_free (n);
     }
 }
 
-/* Starts process INDEX, or starts it again. */
+/* Starts or restarts process INDEX. */
 void
 world_start_process (guint index, gint64 now)
 {
@@ -859,7 +863,7 @@
 
   if (world.kind.notifies)
     {
-      setup.renewed = tell_renewed;
+      setup.renewed = send_renewal;
       setup.data = GUINT_TO_POINTER (index);
     }
   g_clear_pointer (&p->connections, g_array_unref);
@@ -873,21 +877,21 @@
   configure (p, 1);
   if (world.added_at != 0 && now >= world.added_at)
     world_add_pool (index);
-  cc_granter_set_rank (p->granter, world.weak ? 50 + index : 0,
-                       world.weak ? 90 : GRANTERS);
+  cc_granter_set_rank (p->granter, world.poll_seldom ? 50 + index : 0,
+                       world.poll_seldom ? 90 : GRANTERS);
   world_list_servers (p, now);
 }
 
-/* Ends process INDEX and starts it again; it reaches no more than before. */
+/* Restarts process INDEX, which stays cut off from what it was cut off from. */
 void
-world_start_again (guint index)
+world_restart_process (guint index)
 {
   Process *p = &world.processes[index];
   Process before = *p;
 
   world_start_process (index, cc_clock_now ());
   p->cut_from_table = before.cut_from_table;
-  p->healed_at = before.healed_at;
+  p->reconnect_at = before.reconnect_at;
   memcpy (p->cut_from, before.cut_from, sizeof before.cut_from);
   memcpy (p->unlisted, before.unlisted, sizeof before.unlisted);
 }
@@ -899,7 +903,7 @@
 }
 
 static void
-disturb_server (Server *s)
+inject_server_fault (Server *s)
 {
   switch (g_rand_int_range (world.rand, 0, 4))
     {
@@ -918,7 +922,7 @@
 }
 
 static void
-disturb_process (guint index, gint64 now)
+inject_process_fault (guint index, gint64 now)
 {
   Process *p = &world.processes[index];
 
@@ -927,10 +931,10 @@
     case 0:
       p->alive = FALSE;
       world_start_process (index, now);
-      p->frozen_until = now + ms (500, 2500);
+      p->paused_until = now + random_ms (500, 2500);
       break;
     case 1:
-      p->frozen_until = now + ms (200, 6000);
+      p->paused_until = now + random_ms (200, 6000);
       break;
     case 2:
       p->cut_from_table = !p->cut_from_table;
@@ -950,16 +954,17 @@
     }
 }
 
-/* ---- many kinds of faults ---- */
+/* ---- all kinds of faults ---- */
 
-/* P is cut off from what it is cut off from for up to MOST ms. */
+/* Restores the connections of P after at most MOST ms. */
 static void
-heal_later (Process *p, gint most)
+reconnect_later (Process *p, gint most)
 {
-  p->healed_at = MAX (p->healed_at, cc_clock_now () + ms (300, most));
+  p->reconnect_at =
+      MAX (p->reconnect_at, cc_clock_now () + random_ms (300, most));
 }
 
-/* Another is at the address of S, and most processes see it listed. */
+/* Puts another server at the address of S, which most processes list. */
 static void
 replace_server (Server *s)
 {
@@ -967,41 +972,42 @@
   g_autofree char *value =
       g_strdup_printf ("%u 1 1", (guint) (s - world.servers));
 
-  s->replaced = chance (0.4);
-  if (!s->replaced || !chance (0.8))
+  s->replaced = random_bool (0.4);
+  if (!s->replaced || !random_bool (0.8))
     return;
   for (guint i = 0; i < GRANTERS; i++)
-    if (!chance (0.2))
+    if (!random_bool (0.2))
       cc_view_put (&world.processes[i].view, id, ++world.version, value);
 }
 
-/* The other is gone; some processes see its row for long after. */
+/* Removes the other server from the address of S; some processes list its stale
+ * row for long. */
 static void
-give_address_back (Server *s)
+restore_address (Server *s)
 {
   g_autofree char *id = g_strdup_printf ("x%s", s->id);
 
   s->replaced = FALSE;
   for (guint i = 0; i < GRANTERS; i++)
-    if (!chance (0.4))
+    if (!random_bool (0.4))
       cc_view_put (&world.processes[i].view, id, ++world.version, NULL);
 }
 
 static void
-end_server (Server *s)
+stop_server (Server *s)
 {
   s->up = FALSE;
   s->leaving = FALSE;
   s->born++;
-  s->back_at = cc_clock_now () + ms (20, 5000);
-  if (world.kind.replaces)
+  s->back_at = cc_clock_now () + random_ms (20, 5000);
+  if (world.kind.replaces_servers)
     replace_server (s);
   g_array_set_size (s->held, 0);
 }
 
-/* The holder of the lease loses the table.  About a half of the servers is
- * reached by it alone, some of them are listed nowhere else, and one of them
- * may start again meanwhile. */
+/* Cuts the holder of the lease off from the table.  About half of the servers
+ * are reached by it alone; some of them are listed nowhere else, and one of
+ * these may restart meanwhile. */
 static void
 isolate_holder (void)
 {
@@ -1011,21 +1017,21 @@
     if (cc_granter_holds_lease (world.processes[i].granter))
       {
         world.processes[i].cut_from_table = TRUE;
-        heal_later (&world.processes[i], 14000);
+        reconnect_later (&world.processes[i], 14000);
       }
   for (guint s = 0; s < world.count; s++)
     {
-      gboolean hidden = chance (half);
-      gboolean unlisted = hidden && chance (0.3);
+      gboolean hidden = random_bool (half);
+      gboolean unlisted = hidden && random_bool (0.3);
 
-      if (unlisted && chance (0.3))
-        end_server (&world.servers[s]);
+      if (unlisted && random_bool (0.3))
+        stop_server (&world.servers[s]);
       for (guint i = 0; i < GRANTERS && hidden; i++)
         if (!world.processes[i].cut_from_table)
           {
             world.processes[i].cut_from[s] = TRUE;
             world.processes[i].unlisted[s] = unlisted;
-            heal_later (&world.processes[i], 14000);
+            reconnect_later (&world.processes[i], 14000);
           }
     }
 }
@@ -1034,7 +1040,8 @@
 add_load (void)
 {
   guint key = (guint) g_rand_int_range (world.rand, 0, CC_LOAD_KEYS - 8);
-  const char *pool = pool_name (world.kind.later > 0 && chance (0.5));
+  const char *pool =
+      pool_name (world.kind.later_servers > 0 && random_bool (0.5));
 
   for (guint i = 0; i < 8; i++)
     for (guint k = 0; k < GRANTERS; k++)
@@ -1043,36 +1050,36 @@
 }
 
 static void
-disturb_servers (void)
+inject_server_faults (void)
 {
-  guint many = chance (0.2) ? world.count / 2 : 1;
+  guint many = random_bool (0.2) ? world.count / 2 : 1;
 
   for (guint i = 0; i < many; i++)
     {
       Server *s = &world.servers[random_server ()];
 
-      if (s->up && chance (0.7))
-        end_server (s);
+      if (s->up && random_bool (0.7))
+        stop_server (s);
       else
         s->leaving = !s->leaving;
     }
 }
 
 static void
-disturb_link (Process *p)
+inject_link_fault (Process *p)
 {
   guint s = random_server ();
 
-  if (chance (0.3))
+  if (random_bool (0.3))
     p->cut_from_table = TRUE;
   else
     p->cut_from[s] = TRUE;
-  p->unlisted[s] = chance (0.5);
-  heal_later (p, 9000);
+  p->unlisted[s] = random_bool (0.5);
+  reconnect_later (p, 9000);
 }
 
 static void
-disturb_many (gint64 now)
+inject_one_of_all_faults (gint64 now)
 {
   guint index = (guint) g_rand_int_range (world.rand, 0, GRANTERS);
   Process *p = &world.processes[index];
@@ -1080,36 +1087,36 @@
   switch (g_rand_int_range (world.rand, 0, 9))
     {
     case 0:
-      world_start_again (index);
-      if (chance (0.7))
-        p->frozen_until = now + ms (0, 2500);
+      world_restart_process (index);
+      if (random_bool (0.7))
+        p->paused_until = now + random_ms (0, 2500);
       break;
     case 1:
       cc_granter_resign (p->granter);
       p->resigning = TRUE;
       break;
     case 2:
-      p->frozen_until = now + ms (200, 9500);
+      p->paused_until = now + random_ms (200, 9500);
       break;
     case 3:
       isolate_holder ();
       break;
     case 4:
     case 5:
-      disturb_link (p);
+      inject_link_fault (p);
       break;
     case 6:
       add_load ();
       break;
     default:
-      disturb_servers ();
+      inject_server_faults ();
       break;
     }
 }
 
-/* What was to happen at a time. */
+/* Runs what was scheduled for NOW or before. */
 static void
-play_planned (gint64 now)
+run_scheduled (gint64 now)
 {
   for (guint i = 0; i < world.count; i++)
     {
@@ -1120,57 +1127,58 @@
       s->up = TRUE;
       s->back_at = 0;
       if (s->replaced)
-        give_address_back (s);
+        restore_address (s);
     }
   for (guint i = 0; i < GRANTERS; i++)
     {
       Process *p = &world.processes[i];
 
-      if (p->healed_at != 0 && now >= p->healed_at)
+      if (p->reconnect_at != 0 && now >= p->reconnect_at)
         {
-          p->healed_at = 0;
+          p->reconnect_at = 0;
           p->cut_from_table = FALSE;
           memset (p->cut_from, 0, sizeof p->cut_from);
           memset (p->unlisted, 0, sizeof p->unlisted);
         }
       if (p->resigning && cc_granter_has_resigned (p->granter))
         {
-          world_start_again (i);
-          p->frozen_until = now + ms (0, 3000);
+          world_restart_process (i);
+          p->paused_until = now + random_ms (0, 3000);
         }
-      /* The configuration comes to one after the other. */
-      if (world.added_at != 0 && !p->has_later &&
+      /* Processes receive the configuration one after another. */
+      if (world.added_at != 0 && !p->has_later_pool &&
           now >= world.added_at + i * 700 * CC_MS)
         world_add_pool (i);
     }
 }
 
 static void
-disturb (gint64 now)
+inject_fault (gint64 now)
 {
-  double often = 0.01 * world.faults * 4;
+  double probability = 0.01 * world.faults * 4;
 
-  if (world.kind.many)
+  if (world.kind.all_faults)
     {
-      play_planned (now);
-      if (chance (world.kind.often * STEP / CC_SECOND))
-        disturb_many (now);
+      run_scheduled (now);
+      if (random_bool (world.kind.fault_rate * STEP / CC_SECOND))
+        inject_one_of_all_faults (now);
       return;
     }
-  if (chance (often))
-    disturb_server (&world.servers[random_server ()]);
-  if (chance (often))
-    disturb_process ((guint) g_rand_int_range (world.rand, 0, GRANTERS), now);
+  if (random_bool (probability))
+    inject_server_fault (&world.servers[random_server ()]);
+  if (random_bool (probability))
+    inject_process_fault ((guint) g_rand_int_range (world.rand, 0, GRANTERS),
+                          now);
 }
 
 static void
-play_due (gint64 now)
+run_due (gint64 now)
 {
   for (guint i = 0; i < world.events->len; i++)
     {
       Event *e = world.events->pdata[i];
 
-      if (e->at <= now && play (e, now))
+      if (e->at <= now && run_event (e, now))
         {
           g_ptr_array_remove_index (world.events, i--);
           g_free (e);
@@ -1188,24 +1196,26 @@
     }
 }
 
-/* Plays what is due at step NUMBER, lets the processes act, and checks. */
+/* Runs what is due at step NUMBER, lets the processes act, and checks the
+ * result. */
 void
 world_step (guint number)
 {
   gint64 now = cc_clock_now ();
 
-  play_due (now);
+  run_due (now);
   if (world.kind.notifies)
     deliver_renewals (now);
-  disturb (now);
+  inject_fault (now);
   for (guint i = 0; i < GRANTERS; i++)
     {
       Process *p = &world.processes[i];
 
-      if (p->frozen_until > now || (number + i) % 5 != 0)
+      if (p->paused_until > now || (number + i) % 5 != 0)
         continue;
-      /* The seeds of before were played with one that learns all alone. */
-      if ((number + (world.kind.many ? i : 0)) % 20 == 0)
+      /* Without all faults, all processes update their lists in the same step,
+       * on which the listed seeds depend. */
+      if ((number + (world.kind.all_faults ? i : 0)) % 20 == 0)
         world_list_servers (p, now);
       world.running = i;
       cc_granter_tick (p->granter);
@@ -1214,15 +1224,15 @@
   cc_clock_advance (STEP);
 }
 
-/* A world of its own for SEED, in which FAULTS says how likely a call goes
- * wrong. */
+/* Starts a world for SEED, in which a call fails with the probability
+ * FAULTS. */
 void
 world_begin (guint seed, double faults)
 {
   world_begin_kind (&(WorldKind){ .seed = seed, .faults = faults });
 }
 
-/* A world of KIND. */
+/* Starts a world of KIND. */
 void
 world_begin_kind (const WorldKind *kind)
 {
@@ -1231,8 +1241,8 @@
   memset (&world, 0, sizeof world);
   world.kind = *kind;
   world.rand = g_rand_new_with_seed (kind->seed);
-  if (kind->many)
-    g_random_set_seed (kind->seed); /* for the granter's own chances */
+  if (kind->all_faults)
+    g_random_set_seed (kind->seed); /* for random numbers of the granter */
   world.faults = kind->faults;
   world.count = kind->servers != 0 ? kind->servers : SERVERS;
   world.renewals = g_ptr_array_new ();
@@ -1255,13 +1265,13 @@
       s->up = TRUE;
       s->held = g_array_new (FALSE, FALSE, sizeof (Held));
     }
-  if (kind->later > 0)
-    world.added_at = cc_clock_now () + ms (0, 20000);
+  if (kind->later_servers > 0)
+    world.added_at = cc_clock_now () + random_ms (0, 20000);
   for (guint i = 0; i < GRANTERS; i++)
     world_start_process (i, cc_clock_now ());
 }
 
-/* Frees what the world holds. */
+/* Frees the world. */
 void
 world_clear (void)
 {
@@ -1280,7 +1290,7 @@
   cc_clock_resume ();
 }
 
-/* Keys that some server that is up holds now, of all. */
+/* Returns the share of the keys that are held now. */
 double
 world_share_held (void)
 {
@@ -1298,7 +1308,8 @@
   return (double) sum / CC_KEYS;
 }
 
-/* Plays the worlds of COUNT seeds. */
+/* Runs the worlds of COUNT seeds from FIRST on, and fails the test at the first
+ * failure. */
 void
 world_run (double faults, guint first, guint count)
 {
@@ -1315,11 +1326,12 @@
     }
 }
 
-/* Plays a world of KIND and fails with what was found there. */
+/* Runs a world of KIND until its end or its first failure, which is left in
+ * world.failure. */
 void
-world_play (const WorldKind *kind)
+world_run_kind (const WorldKind *kind)
 {
   world_begin_kind (kind);
-  for (guint i = 0; i < STEPS_MANY && world.failure[0] == '\0'; i++)
+  for (guint i = 0; i < STEPS_ALL_FAULTS && world.failure[0] == '\0'; i++)
     world_step (i);
 }
--- a/test/granter_world.h
+++ b/test/granter_world.h
@@ -1,5 +1,6 @@
-/* Granters, the servers that they grant keys to and the table service, in one
- * process, with the faults of all.  Stands in for table.h and http_link.h. */
+/* Simulation of granters, the servers to which they grant keys, and the table
+ * service, in one process, with faults in all of them.  Replaces table.h and
+ * http_link.h. */
 #ifndef CC_TEST_GRANTER_WORLD_H
 #define CC_TEST_GRANTER_WORLD_H
 
@@ -8,21 +9,21 @@
 #include "view.h"
 
 #define STEP (10 * CC_MS)
-#define STEPS 2500      /* 25 s */
-#define STEPS_MANY 4000 /* 40 s, in worlds of many kinds of faults */
+#define STEPS 2500            /* 25 s of simulated time */
+#define STEPS_ALL_FAULTS 4000 /* 40 s, with all kinds of faults */
 #define SERVERS 5
-#define SERVERS_MOST 220
+#define MAX_SERVERS 220
 #define GRANTERS 3
 #define POOL "slots"
 #define LATER_POOL "rooms"
-/* A call of the table service is given up after this. */
-#define TABLE_WITHIN (700 * CC_MS)
+/* Timeout of a call of the table service. */
+#define TABLE_TIMEOUT (700 * CC_MS)
 
 typedef struct
 {
   guint from, to;
   guint64 fence;
-  gint64 until; /* 0: only remembered as seen */
+  gint64 until; /* us; 0: not held, but FENCE is remembered */
 } Held;
 
 typedef struct
@@ -32,11 +33,11 @@
   guint64 born;
   gboolean up;
   gboolean leaving;
-  gint64 back_at;       /* it starts again, us; 0: it is not to */
-  gboolean replaced;    /* another is at its address */
-  gint64 carries_after; /* grants are not answered, and carried out so much
-                           later, us; 0: at once */
-  GArray *held;         /* of Held: of this life, all that was ever granted */
+  gint64 back_at;       /* restart, us; 0: none is planned */
+  gboolean replaced;    /* another server is at its address */
+  gint64 execute_after; /* delay after which a grant is executed without a
+                           response, us; 0: none */
+  GArray *held;         /* of Held: all grants since the start of its process */
 } Server;
 
 typedef struct
@@ -45,18 +46,20 @@
   CcTargets targets;
   CcView view;
   gboolean alive;
-  gint64 frozen_until;
+  gint64 paused_until;
   gboolean cut_from_table;
-  gint64 write_takes; /* until a write is carried out, us; 0: as the world is */
+  gint64 write_delay; /* time until a write is executed, us; 0: as configured
+                         for the world */
   gboolean resigning;
-  gboolean has_later; /* its configuration has LATER_POOL */
-  gint64 healed_at;   /* all that it is cut off from is back, us; 0: never */
-  gboolean cut_from[SERVERS_MOST];
-  gboolean unlisted[SERVERS_MOST]; /* in its copy of the list */
-  GArray *connections;             /* of Connection */
+  gboolean has_later_pool; /* its configuration contains LATER_POOL */
+  gint64
+      reconnect_at; /* all its connections are restored, us; 0: not planned */
+  gboolean cut_from[MAX_SERVERS];
+  gboolean unlisted[MAX_SERVERS]; /* missing from its copy of the list */
+  GArray *connections;            /* of Connection */
 } Process;
 
-/* A connection of a process to one life of a server. */
+/* A connection of a granter's process to one process of a server. */
 typedef struct
 {
   guint serial;
@@ -69,11 +72,11 @@
 
 typedef enum
 {
-  EVENT_ARRIVES, /* at the server */
-  EVENT_CARRIED, /* a grant is carried out late */
+  EVENT_ARRIVES,  /* a call arrives at the server */
+  EVENT_EXECUTED, /* a grant is executed late */
   EVENT_ANSWERED,
-  EVENT_UNSENT, /* no connection could be opened */
-  EVENT_LATE    /* the caller's own time-out */
+  EVENT_UNSENT,   /* no connection could be opened */
+  EVENT_TIMED_OUT /* timeout at the caller */
 } EventKind;
 
 typedef struct
@@ -81,19 +84,21 @@
   gint64 at;
   EventKind kind;
   guint process;
-  CcGranter *by; /* the granter that sent it; another may run there now */
+  CcGranter
+      *by; /* granter that sent it; a later one may run in its place now */
   guint server;
   guint64 born;
-  guint connection;    /* its serial */
-  gint64 connected_at; /* us */
-  gboolean same_life;  /* it reaches the life BORN only */
+  guint connection;      /* serial number */
+  gint64 connected_at;   /* us */
+  gboolean same_process; /* it reaches only the server process that started at
+                            BORN */
   gboolean is_release;
   Held what;
   gint64 arrived;
   guint status;
   CcHttpDone done;
   gpointer data;
-  gboolean *settled; /* the call was answered or timed out */
+  gboolean *settled; /* set when the call was answered or has timed out */
 } Event;
 
 typedef struct
@@ -102,13 +107,13 @@
   char *value;
 } StoreRow;
 
-/* The process is told VERSION of the lease's row. */
+/* Notification of a process that the lease's row has VERSION. */
 typedef struct
 {
   gint64 at;
   guint process;
   guint64 version;
-  gint64 seen_at;
+  gint64 received_at;
 } Renewal;
 
 typedef struct
@@ -123,45 +128,48 @@
   CcStatus status;
   guint64 version;
   GVariant *rows;
-  CcTableChange *change; /* not carried out yet */
-  gint64 carried_at;     /* ... when it is */
-  gboolean told;
+  CcTableChange *change; /* not executed yet */
+  gint64 executed_at;    /* time of its execution */
+  gboolean delivered;
 } StoreAnswer;
 
 typedef struct
 {
   guint seed;
-  double faults;      /* how likely a call goes wrong */
-  guint servers;      /* 0: SERVERS */
-  guint later;        /* ... those at the end are of LATER_POOL */
-  gboolean many;      /* kinds of faults, and strict checks of the fence */
-  double often;       /* ... that begin in a second */
-  gboolean notifies;  /* processes are told of renewals */
-  gboolean replaces;  /* others are at the addresses of servers that ended */
-  gint64 table_takes; /* a write at most, us; 0: none is on its way */
+  double faults;       /* probability that a call fails */
+  guint servers;       /* number of servers; 0: SERVERS */
+  guint later_servers; /* that many at the end belong to LATER_POOL */
+  gboolean all_faults; /* all kinds of faults, and strict checks of fences */
+  double fault_rate;   /* faults that begin in a second, with ALL_FAULTS */
+  gboolean notifies;   /* processes are notified of renewals */
+  gboolean replaces_servers; /* other servers appear at the addresses of stopped
+                                ones */
+  gint64 table_delay_max; /* longest time of a write, us; 0: writes are executed
+                             at once */
 } WorldKind;
 
 typedef struct
 {
   WorldKind kind;
   GRand *rand;
-  Server servers[SERVERS_MOST];
-  guint count; /* of SERVERS */
+  Server servers[MAX_SERVERS];
+  guint count; /* used elements of SERVERS */
   Process processes[GRANTERS];
   GPtrArray *events;
   GPtrArray *answers;
   GHashTable *store; /* "table/key" to StoreRow */
   guint64 version;
-  guint running;       /* index of the process that is running */
-  gboolean weak;       /* processes that start seldom poll the lease */
-  GHashTable *fences;  /* bucket of keys to highest fence and its server */
-  GArray *parts[2];    /* of FencePart, of each pool, without gaps */
-  guint same_fences;   /* taken by another life of the same server */
-  GPtrArray *renewals; /* of Renewal */
-  guint serial;        /* of the last connection */
-  gint64 added_at;     /* LATER_POOL was configured, us */
+  guint running; /* index of the process that runs now */
+  gboolean
+      poll_seldom;    /* processes started from now on poll the lease seldom */
+  GHashTable *fences; /* key / STRIDE to the highest fence and its server */
+  GArray *parts[2];   /* of FencePart, one array for each pool, without gaps */
+  guint repeated_fences; /* accepted again by a restarted server */
+  GPtrArray *renewals;   /* of Renewal */
+  guint serial;          /* serial number of the last connection */
+  gint64 added_at;       /* when LATER_POOL is configured, us */
   char failure[200];
-  double faults; /* how likely a call goes wrong */
+  double faults; /* probability that a call fails */
 } World;
 
 extern World world;
@@ -170,13 +178,13 @@
 void world_begin_kind (const WorldKind *kind);
 void world_clear (void);
 void world_start_process (guint index, gint64 now);
-void world_start_again (guint index);
+void world_restart_process (guint index);
 void world_add_pool (guint index);
 void world_list_servers (Process *p, gint64 now);
 void world_step (guint number);
 double world_share_held (void);
 void world_run (double faults, guint first, guint count);
-void world_play (const WorldKind *kind);
+void world_run_kind (const WorldKind *kind);
 void world_fail (const char *format, ...) G_GNUC_PRINTF (1, 2);
 
 #endif
--- a/test/test_granter.c
+++ b/test/test_granter.c
@@ -54,7 +54,7 @@
   for (guint i = 0; i < GRANTERS; i++)
     if (cc_granter_holds_lease (world.processes[i].granter))
       held = i;
-  world.weak = TRUE;
+  world.poll_seldom = TRUE;
   for (guint i = 0; i < GRANTERS; i++)
     {
       world.processes[i].alive = FALSE;
@@ -84,7 +84,7 @@
   for (guint i = 0; i < GRANTERS; i++)
     if (cc_granter_holds_lease (world.processes[i].granter))
       lost = i;
-  world.processes[lost].frozen_until = G_MAXINT64;
+  world.processes[lost].paused_until = G_MAXINT64;
   world.servers[0].up = FALSE;
   world.servers[0].replaced = TRUE;
   g_array_set_size (world.servers[0].held, 0);
@@ -113,7 +113,8 @@
   Process *p = NULL;
 
   (void) state;
-  world_begin_kind (&(WorldKind){ .seed = 1, .servers = owners, .many = TRUE });
+  world_begin_kind (
+      &(WorldKind){ .seed = 1, .servers = owners, .all_faults = TRUE });
   for (guint i = 0; i < 6 * CC_SECOND / STEP; i++)
     world_step (i);
   for (guint i = 0; i < GRANTERS; i++)
@@ -164,7 +165,7 @@
     if (cc_granter_holds_lease (world.processes[i].granter))
       lost = i;
   lost_at = cc_clock_now ();
-  world.processes[lost].frozen_until = G_MAXINT64;
+  world.processes[lost].paused_until = G_MAXINT64;
   /* The others have received a renewal, but not the last one. */
   for (guint i = 0; i < GRANTERS; i++)
     if (i != lost)
--- a/test/test_granter_worlds.c
+++ b/test/test_granter_worlds.c
@@ -1,9 +1,6 @@
-/* Granters in worlds where many kinds of things go wrong, several at once:
- * beside those of test_granter, processes resign and are started again at their
- * address, writes of a slow table are carried out seconds after they were given
- * up, the lease's holder is left alone with a part of the servers, servers
- * start again under their ids, unlisted for some, half of them at once, and a
- * pool is configured later. */
+/* Guards against two owners of a key with all kinds of faults at once: those of
+ * test_granter, and resignations, restarts, writes executed after their
+ * timeout, partitions around the lease's holder, and a pool added later. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -15,15 +12,15 @@
 #include "granter_world.h"
 
 #define SEEDS 60
-#define SEEDS_LARGE 15 /* of large pools, which take ten times as long */
+#define SEEDS_LARGE 15 /* for large pools, which take ten times as long */
 
 static void
-play (const WorldKind *kind, guint seed)
+run_seed (const WorldKind *kind, guint seed)
 {
   WorldKind k = *kind;
 
   k.seed = seed;
-  world_play (&k);
+  world_run_kind (&k);
   if (world.failure[0] != '\0')
     fail_msg ("seed %u, at %.2f s: %s", seed,
               (double) (cc_clock_now () - 1000 * CC_SECOND) / 1e6,
@@ -31,136 +28,138 @@
   world_clear ();
 }
 
-/* Plays the seeds up to COUNT, and those in FOUND, which end with 0. */
+/* Runs the seeds of FOUND, which ends with 0 and lists earlier failures, and
+ * the seeds from 1 to COUNT. */
 static void
-play_all (const WorldKind *kind, guint count, const guint *found)
+run_seeds (const WorldKind *kind, guint count, const guint *found)
 {
   for (; *found != 0; found++)
-    play (kind, *found);
+    run_seed (kind, *found);
   for (guint seed = 1; seed <= count; seed++)
-    play (kind, seed);
+    run_seed (kind, seed);
 }
 
-/* Guards against a slot that is sold twice as processes and servers are lost
- * and few calls are. */
+/* Guards against two owners of a key while processes and servers are lost and
+ * few calls fail. */
 static void
 one_owner_where_calls_arrive (void **state)
 {
   const WorldKind kind = {
-    .faults = 0.02, .many = TRUE, .often = 0.3, .notifies = TRUE
+    .faults = 0.02, .all_faults = TRUE, .fault_rate = 0.3, .notifies = TRUE
   };
   const guint found[] = { 78, 163, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS, found);
+  run_seeds (&kind, SEEDS, found);
 }
 
-/* Guards against the same where many calls are lost or carried out late. */
+/* Guards against the same while many calls are lost or executed late. */
 static void
 one_owner_where_calls_are_lost (void **state)
 {
   const WorldKind kind = {
-    .faults = 0.2, .many = TRUE, .often = 0.5, .notifies = TRUE
+    .faults = 0.2, .all_faults = TRUE, .fault_rate = 0.5, .notifies = TRUE
   };
   const guint found[] = { 25, 40, 73, 113, 125, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS, found);
+  run_seeds (&kind, SEEDS, found);
 }
 
-/* Guards against the same in a pool so small that a granter that is cut off
- * from most owners does not give up. */
+/* Guards against the same in a pool so small that a granter which is cut off
+ * from most owners does not give up the lease. */
 static void
 one_owner_in_a_small_pool (void **state)
 {
   const WorldKind kind = { .faults = 0.1,
                            .servers = 3,
-                           .many = TRUE,
-                           .often = 0.4,
+                           .all_faults = TRUE,
+                           .fault_rate = 0.4,
                            .notifies = TRUE,
-                           .table_takes = 100 * CC_MS };
+                           .table_delay_max = 100 * CC_MS };
   const guint found[] = { 12, 20, 25, 100, 137, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS, found);
+  run_seeds (&kind, SEEDS, found);
 }
 
-/* Guards against the same as another pool is configured. */
+/* Guards against the same while another pool is configured. */
 static void
 one_owner_as_a_pool_is_added (void **state)
 {
   const WorldKind kind = { .faults = 0.1,
                            .servers = 11,
-                           .later = 5,
-                           .many = TRUE,
-                           .often = 0.5,
+                           .later_servers = 5,
+                           .all_faults = TRUE,
+                           .fault_rate = 0.5,
                            .notifies = TRUE,
-                           .table_takes = 60 * CC_MS };
+                           .table_delay_max = 60 * CC_MS };
   const guint found[] = { 13, 35, 86, 104, 162, 164, 191, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS, found);
+  run_seeds (&kind, SEEDS, found);
 }
 
-/* Guards against the same as another pool is configured, with a slow table and
- * nobody told of renewals. */
+/* Guards against the same while another pool is configured, with a slow table
+ * and without notification of renewals. */
 static void
 one_owner_with_a_slow_table (void **state)
 {
   const WorldKind kind = { .faults = 0.1,
                            .servers = 11,
-                           .later = 5,
-                           .many = TRUE,
-                           .often = 0.3,
-                           .table_takes = 600 * CC_MS };
+                           .later_servers = 5,
+                           .all_faults = TRUE,
+                           .fault_rate = 0.3,
+                           .table_delay_max = 600 * CC_MS };
   const guint found[] = { 5, 8, 41, 74, 109, 135, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS, found);
+  run_seeds (&kind, SEEDS, found);
 }
 
-/* Guards against the same in a pool of more ranges than fit into a write. */
+/* Guards against the same in a pool with more ranges than fit into a
+ * transaction. */
 static void
 one_owner_in_a_large_pool (void **state)
 {
   const WorldKind kind = { .faults = 0.05,
                            .servers = 110,
-                           .many = TRUE,
-                           .often = 0.4,
+                           .all_faults = TRUE,
+                           .fault_rate = 0.4,
                            .notifies = TRUE,
-                           .table_takes = 600 * CC_MS };
+                           .table_delay_max = 600 * CC_MS };
   const guint found[] = { 15, 24, 58, 146, 0 };
 
   (void) state;
-  play_all (&kind, SEEDS_LARGE, found);
+  run_seeds (&kind, SEEDS_LARGE, found);
 }
 
-/* Guards against the same as others come to the addresses of servers that have
- * ended, and their rows stay when those are back. */
+/* Guards against the same while other servers appear at the addresses of
+ * stopped ones, and their stale rows remain when those are back. */
 static void
 one_owner_beside_rows_of_others_at_an_address (void **state)
 {
   const WorldKind kind = { .faults = 0.1,
                            .servers = 11,
-                           .later = 5,
-                           .many = TRUE,
-                           .often = 0.5,
+                           .later_servers = 5,
+                           .all_faults = TRUE,
+                           .fault_rate = 0.5,
                            .notifies = TRUE,
-                           .replaces = TRUE,
-                           .table_takes = 60 * CC_MS };
+                           .replaces_servers = TRUE,
+                           .table_delay_max = 60 * CC_MS };
   const WorldKind large = { .faults = 0.05,
                             .servers = 110,
-                            .many = TRUE,
-                            .often = 0.4,
+                            .all_faults = TRUE,
+                            .fault_rate = 0.4,
                             .notifies = TRUE,
-                            .replaces = TRUE,
-                            .table_takes = 600 * CC_MS };
+                            .replaces_servers = TRUE,
+                            .table_delay_max = 600 * CC_MS };
   const guint found[] = { 80130, 0 };
   const guint found_large[] = { 80012, 0 };
 
   (void) state;
-  play_all (&large, 3, found_large);
-  play_all (&kind, SEEDS, found);
+  run_seeds (&large, 3, found_large);
+  run_seeds (&kind, SEEDS, found);
 }
 
 int
--- a/test/test_two_holders.c
+++ b/test/test_two_holders.c
@@ -1,5 +1,5 @@
-/* Ways in which two upstreams came to hold the same keys, one by one, in a
- * world where nothing else goes wrong. */
+/* Guards against two upstreams that hold the same keys.  Each test simulates
+ * one sequence of faults by which that came about, without any other fault. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -22,14 +22,14 @@
     world_step ((guint) (cc_clock_now () / STEP));
 }
 
-/* Changes of ranges that were planned so far. */
+/* Number of changes of ranges planned so far. */
 static guint64
 moves (void)
 {
   return *cc_metrics_counter ("capercrank_key_ranges_moved", "");
 }
 
-/* Runs until a change of ranges was planned. */
+/* Runs until the next change of ranges is planned. */
 static void
 run_until_planned (void)
 {
@@ -41,7 +41,7 @@
 }
 
 static guint
-holder_but (guint other)
+holder_other_than (guint other)
 {
   for (guint i = 0; i < GRANTERS; i++)
     if (i != other && cc_granter_holds_lease (world.processes[i].granter))
@@ -49,31 +49,32 @@
   return NOBODY;
 }
 
-/* Runs until a process but OTHER holds the lease, and returns it. */
+/* Runs until a process other than OTHER holds the lease, and returns its
+ * index. */
 static guint
 run_until_held_by_another (guint other)
 {
-  for (guint i = 0; i < 5 * CC_SECOND / STEP && holder_but (other) == NOBODY;
-       i++)
+  for (guint i = 0;
+       i < 5 * CC_SECOND / STEP && holder_other_than (other) == NOBODY; i++)
     run_for (STEP);
-  assert_int_not_equal (holder_but (other), NOBODY);
-  return holder_but (other);
+  assert_int_not_equal (holder_other_than (other), NOBODY);
+  return holder_other_than (other);
 }
 
-/* A world of SERVERS_COUNT servers in which one process has granted all keys.
- * Returns that process. */
+/* Starts a world of SERVERS_COUNT servers in which one process has granted all
+ * keys.  Returns the index of that process. */
 static guint
 begin (guint servers_count)
 {
   world_begin_kind (
-      &(WorldKind){ .seed = 1, .servers = servers_count, .many = TRUE });
+      &(WorldKind){ .seed = 1, .servers = servers_count, .all_faults = TRUE });
   run_for (6 * CC_SECOND);
   assert_true (world_share_held () > 0.9999);
-  return holder_but (NOBODY);
+  return holder_other_than (NOBODY);
 }
 
-/* Servers below COUNT are reached by process ONLY alone, and the others don't
- * see server 0 listed. */
+/* Cuts all processes but ONLY off from the servers below COUNT, and removes
+ * server 0 from their lists. */
 static void
 hide_servers (guint count, guint only)
 {
@@ -86,12 +87,13 @@
       }
 }
 
-/* ---- a granter before the last one ---- */
+/* ---- an earlier granter that still renews ---- */
 
-/* The first granter is cut off from the table together with half of the
- * servers, and goes on renewing.  Returns it. */
+/* Cuts the first granter off from the table, and the other processes off from
+ * half of the servers, so that it goes on renewing their grants.  Returns its
+ * index. */
 static guint
-begin_chain (void)
+begin_with_cut_off_granter (void)
 {
   guint first = begin (6);
 
@@ -101,42 +103,40 @@
 }
 
 static void
-end_chain (void)
+run_to_end (void)
 {
   run_for (16 * CC_SECOND);
   assert_string_equal (world.failure, "");
   world_clear ();
 }
 
-/* Guards against two upstreams that hold the same keys: the second granter ends
- * and is started again at its address, and forgets that the first one may still
- * renew. */
+/* The second granter is restarted and does not know that the first one may
+ * still renew. */
 static void
 a_granter_before_one_that_is_started_again_is_waited_for (void **state)
 {
-  guint first = begin_chain ();
+  guint first = begin_with_cut_off_granter ();
 
   (void) state;
-  world_start_again (run_until_held_by_another (first));
-  end_chain ();
+  world_restart_process (run_until_held_by_another (first));
+  run_to_end ();
 }
 
-/* Guards against two upstreams that hold the same keys: the second granter
- * resigns, and whoever follows takes the lease for vacant, although the first
- * one may still renew. */
+/* The second granter resigns, and its successor takes the lease for vacant,
+ * although the first granter may still renew. */
 static void
 a_granter_before_one_that_resigns_is_waited_for (void **state)
 {
-  guint first = begin_chain ();
+  guint first = begin_with_cut_off_granter ();
 
   (void) state;
   cc_granter_resign (
       world.processes[run_until_held_by_another (first)].granter);
-  end_chain ();
+  run_to_end ();
 }
 
 static gboolean
-a_write_is_on_its_way (void)
+write_in_progress (void)
 {
   for (guint i = 0; i < world.answers->len; i++)
     if (((StoreAnswer *) world.answers->pdata[i])->change != NULL)
@@ -144,33 +144,32 @@
   return FALSE;
 }
 
-/* Guards against two upstreams that hold the same keys: the second granter's
- * claim is given up and carried out while its next one is on its way, which is
- * refused for that; it takes its own claim for a vacancy, although the first
- * granter may still renew. */
+/* The second granter's claim times out and is executed while its next claim is
+ * in progress, which is therefore rejected.  It takes its own claim for a
+ * vacant lease, although the first granter may still renew. */
 static void
 a_granter_before_a_late_claim_is_waited_for (void **state)
 {
-  guint first = begin_chain ();
+  guint first = begin_with_cut_off_granter ();
   guint second = (first + 1) % GRANTERS;
   Process *p = &world.processes[second];
 
   (void) state;
   world.processes[(first + 2) % GRANTERS].cut_from_table = TRUE;
-  p->write_takes = TABLE_WITHIN + 400 * CC_MS;
-  for (guint i = 0; i < 5 * CC_SECOND / STEP && !a_write_is_on_its_way (); i++)
+  p->write_delay = TABLE_TIMEOUT + 400 * CC_MS;
+  for (guint i = 0; i < 5 * CC_SECOND / STEP && !write_in_progress (); i++)
     run_for (STEP);
-  assert_true (a_write_is_on_its_way ());
-  p->write_takes = 600 * CC_MS;
+  assert_true (write_in_progress ());
+  p->write_delay = 600 * CC_MS;
   run_for (CC_SECOND);
-  p->write_takes = 0;
+  p->write_delay = 0;
   assert_int_equal (run_until_held_by_another (first), second);
-  end_chain ();
+  run_to_end ();
 }
 
-/* ---- a server that is started again ---- */
+/* ---- a server that is restarted ---- */
 
-/* Whether server S took a fence above FENCE. */
+/* Whether server S has accepted a fence above FENCE. */
 static gboolean
 has_higher_fence (guint s, guint64 fence)
 {
@@ -182,12 +181,12 @@
   return FALSE;
 }
 
-/* Server 0 of OWNERS_COUNT answers the second granter's fence and ends.  It
- * comes back 2.5 s later where only the first granter, which is cut off from
- * the table, reaches it, as it does the servers whose bits are set in HIDDEN.
- * If FROZEN, that one stands still until then. */
+/* Server 0 of OWNERS_COUNT accepts the second granter's fence and stops.  It
+ * restarts 2.5 s later, reached only by the first granter, which is cut off
+ * from the table.  Only the first granter reaches the servers whose bits are
+ * set in HIDDEN.  If PAUSED, it is paused until then. */
 static void
-start_again_below_a_fence (guint owners_count, guint32 hidden, gboolean frozen)
+restart_server_after_fence (guint owners_count, guint32 hidden, gboolean paused)
 {
   guint first = begin (owners_count);
   Process *p = &world.processes[first];
@@ -195,7 +194,7 @@
   guint64 fence = g_array_index (s->held, Held, 0).fence;
 
   p->cut_from_table = TRUE;
-  p->frozen_until = frozen ? G_MAXINT64 : 0;
+  p->paused_until = paused ? G_MAXINT64 : 0;
   for (guint i = 0; i < GRANTERS; i++)
     for (guint k = 1; k < owners_count; k++)
       world.processes[i].cut_from[k] = i != first && (hidden >> k & 1) != 0;
@@ -209,45 +208,43 @@
   run_for (2500 * CC_MS);
   s->up = TRUE;
   s->born++;
-  p->frozen_until = 0;
+  p->paused_until = 0;
   run_for (12 * CC_SECOND);
   assert_string_equal (world.failure, "");
   world_clear ();
 }
 
-/* Guards against two upstreams that hold the same keys: one that is started
- * again has forgotten the fence that shut the granter of before out, and takes
- * its renewal. */
+/* A restarted server does not remember the fence by which it rejected the
+ * earlier granter, and accepts its renewal. */
 static void
-one_started_again_takes_no_renewal_by_the_granter_before (void **state)
+a_restarted_server_takes_no_renewal_by_an_earlier_granter (void **state)
 {
   (void) state;
-  start_again_below_a_fence (3, 0, FALSE);
+  restart_server_after_fence (3, 0, FALSE);
 }
 
-/* Guards against the same in a pool so large that a granter gives up when most
- * owners are silent. */
+/* The same in a pool so large that a granter gives up when most owners are
+ * silent. */
 static void
-one_started_again_of_many_takes_no_renewal_by_the_granter_before (void **state)
+a_restarted_server_of_many_takes_no_renewal_by_an_earlier_granter (void **state)
 {
   (void) state;
-  start_again_below_a_fence (6, 0x34, FALSE);
+  restart_server_after_fence (6, 0x34, FALSE);
 }
 
-/* Guards against the same: the granter of before stood still, and renews as it
- * wakes. */
+/* The same, but the earlier granter was paused and renews when it resumes. */
 static void
-one_started_again_takes_no_renewal_by_a_granter_that_wakes (void **state)
+a_restarted_server_takes_no_renewal_by_a_granter_that_resumes (void **state)
 {
   (void) state;
-  start_again_below_a_fence (6, 0, TRUE);
+  restart_server_after_fence (6, 0, TRUE);
 }
 
-/* Guards against two upstreams that hold the same keys: one starts again and
- * takes a renewal before its new life is listed; it is to get its keys back,
- * but goes before that, and the renewal's end is not waited for. */
+/* A server restarts and accepts a renewal before its restart is listed.  It is
+ * to keep its keys, but leaves before that, and the expiry of the renewal is
+ * not waited for. */
 static void
-one_renewed_before_its_new_life_was_known_is_waited_for (void **state)
+a_server_renewed_before_its_restart_was_listed_is_waited_for (void **state)
 {
   guint first = begin (6);
   Process *p = &world.processes[first];
@@ -260,7 +257,7 @@
   run_for (1300 * CC_MS);
   assert_int_equal (s->held->len, 1);
   p->cut_from_table = FALSE;
-  p->write_takes = 600 * CC_MS;
+  p->write_delay = 600 * CC_MS;
   run_until_planned ();
   p->unlisted[0] = TRUE;
   run_for (8 * CC_SECOND);
@@ -268,9 +265,9 @@
   world_clear ();
 }
 
-/* ---- an owner of a moment ---- */
+/* ---- an owner that is replaced during its move ---- */
 
-/* The server that the row of the keys from 0 on names as owner. */
+/* Returns the server that owns the keys from 0 on by their row. */
 static guint
 owner_of_first_keys (void)
 {
@@ -286,7 +283,7 @@
   return server;
 }
 
-/* Runs until that row names another than SERVER. */
+/* Runs until that row names another owner than SERVER. */
 static void
 run_while_owned_by (guint server)
 {
@@ -296,25 +293,26 @@
   assert_int_not_equal (owner_of_first_keys (), server);
 }
 
-/* Whether a grant of the keys from 0 on is to be carried out late. */
+/* Whether a grant of the keys from 0 on is to be executed late. */
 static gboolean
-a_grant_is_to_be_carried_out (void)
+late_grant_scheduled (void)
 {
   for (guint i = 0; i < world.events->len; i++)
     {
       const Event *e = world.events->pdata[i];
 
-      if (e->kind == EVENT_CARRIED && e->what.from == 0)
+      if (e->kind == EVENT_EXECUTED && e->what.from == 0)
         return TRUE;
     }
   return FALSE;
 }
 
-/* A range moves from an owner that is lost to one that does not answer its
- * grant, and on to a third; another upstream answers in the place of the first.
- * If RESIGNS, the granter resigns once the row names the third. */
+/* A range moves from a lost owner to one that does not respond to its grant,
+ * and on to a third one, while another server answers at the address of the
+ * first.  If RESIGNS, the granter resigns once the row names the third
+ * owner. */
 static void
-move_by_an_owner_of_a_moment (gboolean resigns)
+replace_owner_during_move (gboolean resigns)
 {
   guint first = begin (6);
   guint second;
@@ -323,10 +321,10 @@
   g_array_set_size (world.servers[0].held, 0);
   run_while_owned_by (0);
   second = owner_of_first_keys ();
-  world.servers[second].carries_after = 3 * CC_SECOND;
-  for (guint i = 0; i < 800 && !a_grant_is_to_be_carried_out (); i++)
+  world.servers[second].execute_after = 3 * CC_SECOND;
+  for (guint i = 0; i < 800 && !late_grant_scheduled (); i++)
     run_for (STEP);
-  assert_true (a_grant_is_to_be_carried_out ());
+  assert_true (late_grant_scheduled ());
   for (guint i = 0; i < GRANTERS; i++)
     world.processes[i].unlisted[second] = TRUE;
   run_while_owned_by (second);
@@ -340,29 +338,29 @@
   world_clear ();
 }
 
-/* Guards against two upstreams that hold the same keys: that the first owner
- * has ended is taken for the end of what the one in between may hold. */
+/* That the first owner has terminated is taken as proof that the second one
+ * holds nothing either. */
 static void
-an_owner_of_a_moment_is_waited_for (void **state)
+an_owner_replaced_during_its_move_is_waited_for (void **state)
 {
   (void) state;
-  move_by_an_owner_of_a_moment (FALSE);
+  replace_owner_during_move (FALSE);
 }
 
-/* Guards against the same by the next granter, whose rows name the one in
- * between no more. */
+/* The same for the next granter, whose rows do not name the second owner. */
 static void
-an_owner_of_a_moment_is_waited_for_by_the_next_granter (void **state)
+an_owner_replaced_during_its_move_is_waited_for_by_the_next_granter (
+    void **state)
 {
   (void) state;
-  move_by_an_owner_of_a_moment (TRUE);
+  replace_owner_during_move (TRUE);
 }
 
-/* Guards against two upstreams that hold the same keys: one is missing from the
- * list for a moment, while the old row of another that was at its address
- * before is listed again; that is taken for the proof that it has ended. */
+/* A server is missing from the list for a moment while the stale row of another
+ * one at its address is listed, which is taken as proof that it has
+ * terminated. */
 static void
-one_beside_an_old_row_at_its_address_is_waited_for (void **state)
+an_owner_beside_a_stale_row_at_its_address_is_waited_for (void **state)
 {
   Process *p = &world.processes[begin (6)];
 
@@ -376,29 +374,28 @@
   world_clear ();
 }
 
-/* Guards against two upstreams that hold the same keys: while the first granter
- * may still renew an owner, the second one plans to move its keys, since an old
- * row at its address is listed; the next granter takes a range on the move for
- * one that the first granter renews no more. */
+/* The second granter plans to move keys that the first one may still renew,
+ * because a stale row at their owner's address is listed.  The next granter
+ * assumes that the first one does not renew a moving range. */
 static void
-one_that_moves_beside_an_old_row_is_waited_for (void **state)
+a_move_beside_a_stale_row_waits_for_an_earlier_granter (void **state)
 {
-  guint first = begin_chain ();
+  guint first = begin_with_cut_off_granter ();
 
   (void) state;
   for (guint i = 0; i < GRANTERS; i++)
     cc_view_put (&world.processes[i].view, "another", ++world.version, "0 1 1");
   run_until_held_by_another (first);
   run_while_owned_by (0);
-  world_start_again (holder_but (first));
-  end_chain ();
+  world_restart_process (holder_other_than (first));
+  run_to_end ();
 }
 
 /* ---- a configuration with another pool ---- */
 
-/* Guards against two upstreams that hold the same keys: another keyed pool is
- * configured while a range waits for the hold of its previous owner, and the
- * granter reads its rows again and waits no more. */
+/* Another keyed pool is configured while a range waits for the expiry of its
+ * previous owner's grant.  The granter reads its rows again and forgets to
+ * wait. */
 static void
 a_pool_that_is_added_ends_no_move_early (void **state)
 {
@@ -414,11 +411,11 @@
   world_clear ();
 }
 
-/* ---- a range that is cut ---- */
+/* ---- a range that is split ---- */
 
-/* More servers start again than rows fit into a write. */
-#define STARTED_AGAIN 100
-#define OWNERS (2 * STARTED_AGAIN + 20)
+/* More servers restart than rows fit into a transaction. */
+#define RESTARTED 100
+#define OWNERS (2 * RESTARTED + 20)
 
 static gboolean
 row_is_there (guint from, const char *part)
@@ -430,28 +427,29 @@
   return row != NULL && strstr (row->value, part) != NULL;
 }
 
-/* Runs as long as a write is on its way, or none is. */
+/* Runs as long as a write is in progress if WRITING, or as long as none is. */
 static void
 run_while_writing (gboolean writing)
 {
-  for (guint i = 0;
-       i < 2 * CC_SECOND / STEP && a_write_is_on_its_way () == writing; i++)
+  for (guint i = 0; i < 2 * CC_SECOND / STEP && write_in_progress () == writing;
+       i++)
     run_for (STEP);
-  assert_int_not_equal (a_write_is_on_its_way (), writing);
+  assert_int_not_equal (write_in_progress (), writing);
 }
 
-/* All but the hot key at its end goes from server 0 to another, while a write
- * is on its way; the rows of servers that start again come in between.  Returns
- * the hot key. */
+/* Plans to move all keys of server 0 but the hot one at the end to another
+ * server, while a write is in progress.  Rows of restarted servers are written
+ * first.  Returns the hot key. */
 static guint
-cut_as_others_start_again (Process *p)
+split_while_others_restart (Process *p)
 {
   guint hot = g_array_index (world.servers[0].held, Held, 0).to;
 
-  p->write_takes = 600 * CC_MS;
+  p->write_delay = 600 * CC_MS;
   run_for (2 * CC_SECOND);
-  /* The plan is made late in the write that goes on then, so that there are two
-   * more renewals of what stays before the granter's term is over. */
+  /* The plan is made late during the write that is in progress then, so that
+   * two more renewals of the remaining part follow within the granter's
+   * term. */
   for (guint i = 0; i < 2; i++)
     {
       run_while_writing (TRUE);
@@ -459,7 +457,7 @@
     }
   cc_granter_add_load (p->granter, POOL, hot, 20000);
   run_until_planned ();
-  for (guint i = 1; i <= STARTED_AGAIN; i++)
+  for (guint i = 1; i <= RESTARTED; i++)
     {
       world.servers[i].born++;
       g_array_set_size (world.servers[i].held, 0);
@@ -468,15 +466,14 @@
   return hot;
 }
 
-/* Guards against two upstreams that hold the same keys: the part of a cut range
- * that stays with its owner is renewed before its row is written, and whoever
- * takes over then reads that the whole range was on its way to another. */
+/* The remaining part of a split range is renewed before its row is written, and
+ * the next granter reads that the whole range was moving to another owner. */
 static void
-the_part_of_a_cut_that_stays_is_waited_for (void **state)
+the_remaining_part_of_a_split_range_is_waited_for (void **state)
 {
   guint first = begin (OWNERS);
   Process *p = &world.processes[first];
-  guint hot = cut_as_others_start_again (p);
+  guint hot = split_while_others_restart (p);
 
   (void) state;
   for (guint i = 0; i < 200 && !row_is_there (0, "previous"); i++)
@@ -503,18 +500,21 @@
     cmocka_unit_test (a_granter_before_one_that_is_started_again_is_waited_for),
     cmocka_unit_test (a_granter_before_one_that_resigns_is_waited_for),
     cmocka_unit_test (a_granter_before_a_late_claim_is_waited_for),
-    cmocka_unit_test (one_started_again_takes_no_renewal_by_the_granter_before),
     cmocka_unit_test (
-        one_started_again_of_many_takes_no_renewal_by_the_granter_before),
+        a_restarted_server_takes_no_renewal_by_an_earlier_granter),
+    cmocka_unit_test (
+        a_restarted_server_of_many_takes_no_renewal_by_an_earlier_granter),
+    cmocka_unit_test (
+        a_restarted_server_takes_no_renewal_by_a_granter_that_resumes),
+    cmocka_unit_test (
+        a_server_renewed_before_its_restart_was_listed_is_waited_for),
+    cmocka_unit_test (an_owner_replaced_during_its_move_is_waited_for),
     cmocka_unit_test (
-        one_started_again_takes_no_renewal_by_a_granter_that_wakes),
-    cmocka_unit_test (one_renewed_before_its_new_life_was_known_is_waited_for),
-    cmocka_unit_test (an_owner_of_a_moment_is_waited_for),
-    cmocka_unit_test (an_owner_of_a_moment_is_waited_for_by_the_next_granter),
-    cmocka_unit_test (one_beside_an_old_row_at_its_address_is_waited_for),
-    cmocka_unit_test (one_that_moves_beside_an_old_row_is_waited_for),
+        an_owner_replaced_during_its_move_is_waited_for_by_the_next_granter),
+    cmocka_unit_test (an_owner_beside_a_stale_row_at_its_address_is_waited_for),
+    cmocka_unit_test (a_move_beside_a_stale_row_waits_for_an_earlier_granter),
     cmocka_unit_test (a_pool_that_is_added_ends_no_move_early),
-    cmocka_unit_test (the_part_of_a_cut_that_stays_is_waited_for),
+    cmocka_unit_test (the_remaining_part_of_a_split_range_is_waited_for),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
