--- a/granted_pool.c
+++ b/granted_pool.c
@@ -70,11 +70,11 @@
   return NULL;
 }
 
-/* Loads P's ranges from ROWS, a(sts) of key, version and value.  BEFORE limits
- * what the previous granter may still do. */
+/* Loads P's ranges from ROWS, a(sts) of key, version and value.  PREDECESSOR
+ * limits what the previous granter may still do. */
 void
 cc_granted_pool_load (CcGrantedPool *p, GVariant *rows,
-                      const CcPredecessor *before)
+                      const CcPredecessor *predecessor)
 {
   CcView view;
   GVariantIter i;
@@ -93,7 +93,7 @@
     {
       CcRangeGrant *x = grant_new (p, p->ranges.list->pdata[k]);
 
-      cc_range_grant_load (x, &fence, before);
+      cc_range_grant_load (x, &fence, predecessor);
     }
   p->loaded = TRUE;
 }
@@ -213,13 +213,13 @@
 }
 
 static void
-apply_change (CcGrantedPool *p, CcKeyRange *r, const GArray *before)
+apply_change (CcGrantedPool *p, CcKeyRange *r, const GArray *old_owners)
 {
   CcRangeGrant *x = grant_of (p, r);
 
-  for (guint i = 0; i < before->len; i++)
+  for (guint i = 0; i < old_owners->len; i++)
     {
-      const OldOwner *b = &g_array_index (before, OldOwner, i);
+      const OldOwner *b = &g_array_index (old_owners, OldOwner, i);
 
       if (b->grant == x && !has_owner (x, b->owner, b->born))
         cc_range_grant_owner_changed (x, cc_clock_now ());
@@ -238,7 +238,7 @@
 {
   g_autoptr (GArray) owners = owners_of (p, params);
   g_autoptr (GPtrArray) changed = g_ptr_array_new ();
-  g_autoptr (GArray) before = save_owners (p);
+  g_autoptr (GArray) old_owners = save_owners (p);
   CcKeyPlan plan = { .ranges = &p->ranges,
                      .owners = owners,
                      .load = &p->load,
@@ -264,7 +264,7 @@
   cc_key_plan (&plan);
   add_grants (p, changed);
   for (guint i = 0; i < changed->len; i++)
-    apply_change (p, changed->pdata[i], before);
+    apply_change (p, changed->pdata[i], old_owners);
   p->shared->replan |= changed->len >= PLAN_MAX_CHANGES;
   return changed->len;
 }
--- a/granter.c
+++ b/granter.c
@@ -150,13 +150,12 @@
   g_hash_table_iter_init (&i, routes->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
     {
-      const CcRoutePool *described = value;
+      const CcRoutePool *pool = value;
 
-      if (!described->keyed ||
-          g_hash_table_contains (g->pools, described->name))
+      if (!pool->keyed || g_hash_table_contains (g->pools, pool->name))
         continue;
       {
-        CcGrantedPool *p = cc_granted_pool_new (described->name, &g->shared);
+        CcGrantedPool *p = cc_granted_pool_new (pool->name, &g->shared);
 
         g_hash_table_insert (g->pools, p->name, p);
         g->loaded = FALSE;
@@ -205,15 +204,15 @@
   g->named_in_table = TRUE;
 }
 
-/* Another process reports that the lease's row has had VERSION since SEEN_AT,
- * us.
+/* Another process reports that the lease's row has had VERSION since
+ * RECEIVED_AT, us.
  *
  * The next poll is postponed until renewals may be missing.  The first
  * FREQUENT_POLLERS processes then poll at once.  The others, which all receive
  * the same update at once, poll at random times after that, in case the first
  * ones are cut off. */
 void
-cc_granter_lease_received (CcGranter *g, guint64 version, gint64 seen_at)
+cc_granter_lease_received (CcGranter *g, guint64 version, gint64 received_at)
 {
   /* A claim is preceded by a read of the row, which replaces these values. */
   CcGranterRow row = { .version = version,
@@ -224,9 +223,9 @@
     return;
   if (g->rank >= FREQUENT_POLLERS)
     timeout += (gint64) (g_random_double () * (double) poll_period (g));
-  cc_granter_lease_row_read (&g->shared.lease, &row, seen_at);
+  cc_granter_lease_row_read (&g->shared.lease, &row, received_at);
   g->may_claim = FALSE;
-  g->next_poll = seen_at + timeout;
+  g->next_poll = received_at + timeout;
 }
 
 /* The upstreams that may own keys have changed.  OUTAGE is the time of the last
@@ -418,7 +417,7 @@
 poll_when_free (CcGranter *g, gint64 now)
 {
   const CcGranterLease *l = &g->shared.lease;
-  gint64 free_at = l->seen_at + CC_GRANTER_TERM + CC_GRANTER_MARGIN;
+  gint64 free_at = l->received_at + CC_GRANTER_TERM + CC_GRANTER_MARGIN;
   gint64 spread = (gint64) (g_random_double () * CLAIM_SPREAD);
 
   if (free_at > now)
@@ -502,12 +501,12 @@
 {
   CcGranter *g = data;
   gint64 now = cc_clock_now ();
-  CcPredecessor before = { .renewed_at = g->predecessor_renewed_at,
-                           .changes_until =
-                               g->predecessor_renewed_at + CC_GRANTER_TERM,
-                           .renews_until = MAX (g->predecessors_until, now),
-                           .predecessors_until =
-                               g->shared.lease.predecessors_until };
+  CcPredecessor predecessor = {
+    .renewed_at = g->predecessor_renewed_at,
+    .changes_until = g->predecessor_renewed_at + CC_GRANTER_TERM,
+    .renews_until = MAX (g->predecessors_until, now),
+    .predecessors_until = g->shared.lease.predecessors_until
+  };
   GHashTableIter i;
   gpointer value;
 
@@ -524,7 +523,7 @@
        * newer than the rows and the limits of the previous holder. */
       if (p->loaded)
         continue;
-      cc_granted_pool_load (p, rows, &before);
+      cc_granted_pool_load (p, rows, &predecessor);
       log_ranges (g, p, now);
     }
   g->loaded = TRUE;
@@ -665,7 +664,7 @@
     {
       g->predecessors_until =
           cc_granter_lease_predecessors_until (&g->shared.lease);
-      g->predecessor_renewed_at = g->shared.lease.seen_at;
+      g->predecessor_renewed_at = g->shared.lease.received_at;
       g->claiming = TRUE;
     }
   value = lease_value (g, g->sent_at);
--- a/granter.h
+++ b/granter.h
@@ -36,7 +36,8 @@
 void cc_granter_configure (CcGranter *g, const CcRoutes *routes);
 void cc_granter_set_rank (CcGranter *g, guint rank, guint fleet);
 void cc_granter_named_in_table (CcGranter *g);
-void cc_granter_lease_received (CcGranter *g, guint64 version, gint64 seen_at);
+void cc_granter_lease_received (CcGranter *g, guint64 version,
+                                gint64 received_at);
 void cc_granter_targets_changed (CcGranter *g, gint64 outage);
 void cc_granter_add_load (CcGranter *g, const char *pool, guint key,
                           guint count);
--- a/granter_lease.c
+++ b/granter_lease.c
@@ -9,21 +9,21 @@
 cc_granter_lease_row_read (CcGranterLease *l, const CcGranterRow *row,
                            gint64 now)
 {
-  if (l->seen_at == 0 || l->version != row->version)
-    l->seen_at = now;
+  if (l->received_at == 0 || l->version != row->version)
+    l->received_at = now;
   l->version = row->version;
   l->vacant = row->vacant;
-  l->predecessors_until = l->seen_at + row->predecessors_remaining;
+  l->predecessors_until = l->received_at + row->predecessors_remaining;
 }
 
 /* Whether a process that does not hold the lease may claim it at NOW, us. */
 gboolean
 cc_granter_lease_may_claim (const CcGranterLease *l, gint64 now)
 {
-  if (l->held || l->seen_at == 0)
+  if (l->held || l->received_at == 0)
     return FALSE;
   return l->version == 0 || l->vacant ||
-         now >= l->seen_at + CC_GRANTER_TERM + CC_GRANTER_MARGIN;
+         now >= l->received_at + CC_GRANTER_TERM + CC_GRANTER_MARGIN;
 }
 
 /* Records that a claim or renewal, sent at SENT, us, was committed as
@@ -42,7 +42,7 @@
 cc_granter_lease_lost (CcGranterLease *l)
 {
   l->held = FALSE;
-  l->seen_at = 0;
+  l->received_at = 0;
 }
 
 /* Whether the holder may assign keys to other owners at NOW, us. */
@@ -70,7 +70,8 @@
 gint64
 cc_granter_lease_predecessors_until (const CcGranterLease *l)
 {
-  gint64 last = l->vacant ? l->seen_at : l->seen_at + CC_GRANTER_RENEWAL_LIMIT;
+  gint64 last =
+      l->vacant ? l->received_at : l->received_at + CC_GRANTER_RENEWAL_LIMIT;
 
   if (l->version == 0)
     return 0;
--- a/granter_lease.h
+++ b/granter_lease.h
@@ -38,7 +38,8 @@
   gboolean held;   /* held by this process, as far as it knows */
   guint64 version; /* of the lease's row; 0: there is no row */
   gboolean vacant; /* its holder resigned */
-  gint64 seen_at;  /* when VERSION was first read or received, us; 0: never */
+  gint64
+      received_at; /* when VERSION was first read or received, us; 0: never */
   gint64 predecessors_until; /* holders before the row's holder may renew
                                 grants, us */
   gint64 confirmed_at;       /* when the last committed renewal was sent, us */
--- a/range_grant.c
+++ b/range_grant.c
@@ -132,8 +132,8 @@
 }
 
 /* Initialises X for a range that a new granter has read from its row.  The
- * fence of a range that is not moving is raised above *FENCE.  BEFORE limits
- * what the previous granter may still do.
+ * fence of a range that is not moving is raised above *FENCE.  PREDECESSOR
+ * limits what the previous granter may still do.
  *
  * Without the table, the previous granter renews only what the rows contain as
  * well.  So for a range that is moving, its last grant to the previous owner
@@ -141,22 +141,24 @@
  * before its term was over.  Earlier granters may not know of the move. */
 void
 cc_range_grant_load (CcRangeGrant *x, guint64 *fence,
-                     const CcPredecessor *before)
+                     const CcPredecessor *predecessor)
 {
   x->moving = x->range->previous != NULL;
   if (x->moving)
     {
       x->previous_until = cc_grant_expiry (
-          MAX (before->renewed_at, before->predecessors_until) + CALL_TIMEOUT);
+          MAX (predecessor->renewed_at, predecessor->predecessors_until) +
+          CALL_TIMEOUT);
       x->previous_uncertain_until = x->previous_until;
       /* An earlier version of the row may have named another new owner. */
       x->replaced_until = x->previous_until;
-      x->owner_until = cc_grant_expiry (before->changes_until + CALL_TIMEOUT);
+      x->owner_until =
+          cc_grant_expiry (predecessor->changes_until + CALL_TIMEOUT);
       x->owner_uncertain_until = x->owner_until;
       x->written = TRUE;
       return;
     }
-  x->owner_until = cc_grant_expiry (before->renews_until + CALL_TIMEOUT);
+  x->owner_until = cc_grant_expiry (predecessor->renews_until + CALL_TIMEOUT);
   x->owner_uncertain_until = x->owner_until;
   x->dirty = TRUE;
   x->fence_raised = TRUE;
@@ -318,8 +320,8 @@
 send_grant (CcRangeGrant *x, gint64 connected_by)
 {
   const CcTarget *t = cc_targets_find (x->shared->targets, x->range->owner);
-  CcKeyGrant what = { x->range->owner, x->range->from, x->range->to,
-                      x->range->fence, CC_GRANT_HOLD,  x->handoff };
+  CcKeyGrant key_grant = { x->range->owner, x->range->from, x->range->to,
+                           x->range->fence, CC_GRANT_HOLD,  x->handoff };
   CcHttpOrder request = { .answer_within = CALL_TIMEOUT,
                           .connected_by = connected_by };
   g_autoptr (GBytes) body = NULL;
@@ -332,7 +334,7 @@
    * extend the time until its keys may be moved. */
   if (t->state == CC_TARGET_GONE && !x->held && x->unanswered_until != 0)
     return;
-  headers = cc_edge_grant_head (&what, &body);
+  headers = cc_edge_grant_head (&key_grant, &body);
   message = add_host_header (headers, t->listing.address);
   /* From now on the owner may hold the grant. */
   x->owner_until_before = x->owner_until;
@@ -390,12 +392,12 @@
 static void
 send_release (CcRangeGrant *x, const CcTarget *t)
 {
-  CcKeyGrant what = { .server = x->range->previous,
-                      .from = x->range->from,
-                      .to = x->range->to,
-                      .fence = x->range->previous_fence };
+  CcKeyGrant key_grant = { .server = x->range->previous,
+                           .from = x->range->from,
+                           .to = x->range->to,
+                           .fence = x->range->previous_fence };
   g_autoptr (GBytes) body = NULL;
-  g_autofree char *headers = cc_edge_release_head (&what, &body);
+  g_autofree char *headers = cc_edge_release_head (&key_grant, &body);
   g_autofree char *message = add_host_header (headers, t->listing.address);
   CcHttpOrder request = { .address = t->listing.address,
                           .head = message,
--- a/range_grant.h
+++ b/range_grant.h
@@ -72,6 +72,6 @@
 void cc_range_grant_inherit (CcRangeGrant *x, const CcRangeGrant *source,
                              gint64 now);
 void cc_range_grant_load (CcRangeGrant *x, guint64 *fence,
-                          const CcPredecessor *before);
+                          const CcPredecessor *predecessor);
 
 #endif
