--- a/granted_pool.c
+++ b/granted_pool.c
@@ -52,6 +52,7 @@
   p->loaded = FALSE;
 }
 
+/* Creates the grant of RANGE and adds it to P. */
 static CcRangeGrant *
 grant_new (CcGrantedPool *p, CcKeyRange *range)
 {
@@ -61,6 +62,7 @@
   return x;
 }
 
+/* Returns the grant of RANGE, or NULL. */
 static CcRangeGrant *
 grant_of (const CcGrantedPool *p, const CcKeyRange *range)
 {
@@ -146,6 +148,7 @@
   return best;
 }
 
+/* Whether X's range belongs to the process of OWNER that started at BORN. */
 static gboolean
 has_owner (const CcRangeGrant *x, const char *owner, guint64 born)
 {
@@ -166,6 +169,7 @@
   g_free (((OldOwner *) data)->owner);
 }
 
+/* Returns the present owners of all grants, as a list of OldOwner. */
 static GArray *
 save_owners (const CcGrantedPool *p)
 {
@@ -212,6 +216,8 @@
     }
 }
 
+/* Updates the grant of R, which a plan has changed.  Its row is written before
+ * the grant is sent. */
 static void
 apply_change (CcGrantedPool *p, CcKeyRange *r, const GArray *old_owners)
 {
--- a/granter.c
+++ b/granter.c
@@ -163,6 +163,7 @@
     }
 }
 
+/* Returns the period at which this process polls the lease's row, us. */
 static gint64
 poll_period (const CcGranter *g)
 {
@@ -204,8 +205,8 @@
   g->named_in_table = TRUE;
 }
 
-/* Another process reports that the lease's row has had VERSION since
- * RECEIVED_AT, us.
+/* Another process has received VERSION of the lease's row at RECEIVED_AT, us,
+ * and has reported it.
  *
  * The next poll is postponed until renewals may be missing.  The first
  * FREQUENT_POLLERS processes then poll at once.  The others, which all receive
@@ -248,12 +249,14 @@
          now - g->loaded_at < SETTLE_LIMIT;
 }
 
+/* Plans all pools that are loaded; if REBALANCE, ranges are also moved to
+ * balance load. */
 static void
 plan_all (CcGranter *g, gboolean rebalance, gint64 now)
 {
-  CcPoolPlanning how = { .rates = &g->rates,
-                         .rebalance = rebalance,
-                         .now = now };
+  CcPoolPlanning params = { .rates = &g->rates,
+                            .rebalance = rebalance,
+                            .now = now };
   GHashTableIter i;
   gpointer value;
 
@@ -268,7 +271,7 @@
       if (awaits_upstreams (g, p, now))
         g->shared.replan = TRUE;
       else
-        *g->moves += cc_granted_pool_plan (p, &how);
+        *g->moves += cc_granted_pool_plan (p, &params);
     }
 }
 
@@ -292,6 +295,8 @@
 
 /* ---- lease ---- */
 
+/* Drops all ranges and grants, which are valid only under the lease they were
+ * read or made under. */
 static void
 reset_ranges (CcGranter *g)
 {
@@ -313,6 +318,7 @@
   return (MAX (g->predecessors_until - now, 0) + CC_MS - 1) / CC_MS;
 }
 
+/* Stops acting as the granter.  WHY is the reason in the log. */
 static void
 lose_lease (CcGranter *g, const char *why)
 {
@@ -372,6 +378,8 @@
   return g_variant_ref_sink (g_variant_builder_end (&b));
 }
 
+/* Records that the last write was committed as VERSION, and notifies the
+ * listener of the setup. */
 static void
 confirm_lease (CcGranter *g, guint64 version)
 {
@@ -382,6 +390,7 @@
     g->setup.renewed (version, g->sent_at, rows, g->setup.data);
 }
 
+/* Becomes the holder of the lease by a claim that was committed as VERSION. */
 static void
 take_lease (CcGranter *g, guint64 version)
 {
@@ -396,10 +405,10 @@
   g->next_poll = 0;
 }
 
-/* Whether HOLDER no longer acts: it resigned, or it was an earlier run at the
- * address of this process.  That run has terminated, or this process could not
- * listen there.  After a restart of the whole fleet this saves the wait for the
- * lease to expire, in which keys lapse. */
+/* Whether HOLDER no longer acts: it resigned, or it is an earlier run at the
+ * address of this process.  Such a run has terminated, since otherwise this
+ * process could not listen there.  After a restart of the whole fleet this
+ * saves the wait for the lease to expire, in which keys lapse. */
 static gboolean
 is_abandoned (const CcGranter *g, const char *holder)
 {
@@ -424,6 +433,8 @@
     g->next_poll = MIN (g->next_poll, free_at + spread);
 }
 
+/* Handles a read of the lease's row: decides whether the lease may be claimed,
+ * or for the holder whether it still holds it. */
 static void
 on_lease_read (CcStatus status, GVariant *rows, guint64 upto, const char *why,
                gpointer data)
@@ -495,6 +506,8 @@
       "predecessors_ms", cc_event_int (predecessors_left_ms (g, now)), NULL);
 }
 
+/* Handles the read of the state rows that follows a claim: loads the pools that
+ * are not loaded under this lease. */
 static void
 on_state_read (CcStatus status, GVariant *rows, guint64 upto, const char *why,
                gpointer data)
@@ -533,6 +546,7 @@
   g->rebalance_at = now + REBALANCE_DELAY;
 }
 
+/* Lists up to MOST grants whose rows have to be written in DIRTY. */
 static void
 collect_dirty (const CcGranter *g, guint most, GPtrArray *dirty)
 {
@@ -545,6 +559,7 @@
     cc_granted_pool_add_dirty (value, most, dirty);
 }
 
+/* Adds a state row to C and to the rows that are reported after the write. */
 static void
 put_row (CcGranter *g, CcTableChange *c, const char *key, const char *text)
 {
@@ -553,6 +568,7 @@
   g_ptr_array_add (g->rows, g_strdup (text));
 }
 
+/* Adds the rows that have to be written to C, as many as fit. */
 static void
 put_changed_rows (CcGranter *g, CcTableChange *c)
 {
@@ -588,6 +604,8 @@
   g_ptr_array_set_size (g->writing, 0);
 }
 
+/* Marks the grants of the last write as written, unless their rows have changed
+ * since. */
 static void
 mark_written (CcGranter *g)
 {
@@ -600,6 +618,7 @@
   g_ptr_array_set_size (g->writing, 0);
 }
 
+/* Handles the result of a write of the lease's row. */
 static void
 on_written (CcStatus status, guint64 version, gpointer data)
 {
@@ -677,6 +696,8 @@
   cc_table_commit (g->setup.table, c, on_written, g);
 }
 
+/* Does the next request to the table that is due: a poll, a claim, a renewal,
+ * or the read of the state rows.  One request is in progress at a time. */
 static void
 step_lease (CcGranter *g, gint64 now)
 {
@@ -808,8 +829,8 @@
   g->resigning = TRUE;
 }
 
-/* Whether the lease has been given up, or is not held and no write is in
- * progress. */
+/* Whether the lease has been given up, or is not held and no request to the
+ * table service is in progress. */
 gboolean
 cc_granter_has_resigned (const CcGranter *g)
 {
--- a/key_load.c
+++ b/key_load.c
@@ -28,6 +28,7 @@
 /* Least fast count of a bucket in a hot region. */
 #define HOT_REGION_MIN 0.5
 
+/* Converts COUNT in TIME, us, to a rate a second. */
 static double
 per_second (double count, gint64 time)
 {
@@ -42,6 +43,8 @@
   return MAX (count - CONFIDENCE * sqrt (count / 2), 0.0);
 }
 
+/* Returns the lower bound of the mean fast count of the buckets around
+ * BUCKET. */
 static double
 neighbourhood_count (const CcKeyLoad *l, guint bucket)
 {
@@ -54,6 +57,7 @@
   return lower_bound (sum) / (to - from + 1);
 }
 
+/* Returns the rate of BUCKET, requests a second. */
 static double
 rate_of (const CcKeyLoad *l, guint bucket)
 {
--- a/key_plan.c
+++ b/key_plan.c
@@ -69,6 +69,8 @@
   return &g_array_index (s->plan->owners, CcKeyOwner, i);
 }
 
+/* Returns the owner ID whose process started at BORN, or NULL if it is not
+ * among those that may own keys. */
 static CcKeyOwner *
 find_owner (const PlanState *s, const char *id, guint64 born)
 {
@@ -83,6 +85,7 @@
   return (double) r->to - r->from + 1;
 }
 
+/* Returns the load of R, with the base load of its keys, requests a second. */
 static double
 load_of (const PlanState *s, const CcKeyRange *r)
 {
@@ -90,12 +93,14 @@
          s->per_key * key_count (r);
 }
 
+/* Returns O's load as a part of its capacity. */
 static double
 utilisation (const CcKeyOwner *o)
 {
   return o->load / o->capacity;
 }
 
+/* Returns the owner with the lowest utilisation. */
 static CcKeyOwner *
 least_utilised (const PlanState *s)
 {
@@ -121,12 +126,14 @@
   return best;
 }
 
+/* Returns O's share of the total load by capacity, requests a second. */
 static double
 fair_share (const PlanState *s, const CcKeyOwner *o)
 {
   return s->total * o->capacity / s->capacity;
 }
 
+/* Whether the plan has changed as many ranges as it may. */
 static gboolean
 limit_reached (const PlanState *s)
 {
@@ -175,6 +182,7 @@
                                         load, s->per_key));
 }
 
+/* Assigns R to O with a new fence. */
 static void
 assign_range (PlanState *s, CcKeyRange *r, CcKeyOwner *o)
 {
@@ -223,6 +231,8 @@
   return TRUE;
 }
 
+/* Assigns the ranges whose owner may no longer own keys, split if they have
+ * much load. */
 static void
 assign_unowned (PlanState *s)
 {
@@ -279,6 +289,7 @@
   return best;
 }
 
+/* Moves a part of a fair share to O, which has no load yet. */
 static void
 supply_new_owner (PlanState *s, CcKeyOwner *o)
 {
@@ -396,6 +407,7 @@
   return MAX (capacity - headroom * sqrt (capacity), MIN_WEIGHT * capacity);
 }
 
+/* Returns the sum of the weights of all owners with HEADROOM. */
 static double
 sum_of_weights (const PlanState *s, double headroom)
 {
@@ -437,6 +449,7 @@
         weight_of (owner_at (s, i)->capacity, low) * s->capacity / weights;
 }
 
+/* Computes the loads of all owners and the totals of the pool. */
 static void
 measure_load (PlanState *s)
 {
--- a/range_grant.c
+++ b/range_grant.c
@@ -171,6 +171,8 @@
   return g_strdup_printf ("%sHost: %s\r\n", headers, address);
 }
 
+/* Sends REQUEST for X; DONE is called with the result.  Returns FALSE if it
+ * cannot be sent. */
 static gboolean
 call_upstream (CcRangeGrant *x, CcHttpOrder *request, CcHttpDone done)
 {
@@ -194,6 +196,8 @@
   return FALSE;
 }
 
+/* Ends the move of X's range after the new owner has accepted it.  The row
+ * without a previous owner has still to be written. */
 static void
 finish_move (CcRangeGrant *x)
 {
@@ -211,6 +215,7 @@
   x->written = FALSE;
 }
 
+/* Handles an accepted grant, received at NOW, us. */
 static void
 on_grant_accepted (CcRangeGrant *x, const CcHttpResult *r, gint64 now)
 {
@@ -266,6 +271,8 @@
   x->shared->replan = TRUE;
 }
 
+/* Handles the result of a grant.  A call that was never sent leaves the limits
+ * of the owner as they were. */
 static void
 on_granted (const CcHttpResult *r, gpointer data)
 {
@@ -305,6 +312,7 @@
             r->why, "status", cc_event_int (r->status), NULL);
 }
 
+/* Logs that a renewal is withheld, once for each time it begins. */
 static void
 log_withheld (CcRangeGrant *x)
 {
@@ -351,6 +359,7 @@
     log_withheld (x);
 }
 
+/* Records the previous owner's release with its HANDOFF data, or NULL. */
 static void
 on_release_accepted (CcRangeGrant *x, const char *handoff)
 {
@@ -360,6 +369,7 @@
   x->handoff = g_strdup (handoff);
 }
 
+/* Handles the result of a release. */
 static void
 on_released (const CcHttpResult *r, gpointer data)
 {
@@ -389,6 +399,7 @@
   on_release_accepted (x, cc_edge_handoff (r));
 }
 
+/* Sends T, the previous owner of X's range, a release. */
 static void
 send_release (CcRangeGrant *x, const CcTarget *t)
 {
--- a/test/test_granter.c
+++ b/test/test_granter.c
@@ -105,7 +105,7 @@
 
 /* Guards against a table outage in which all keys lapse: owners whose
  * connections were closed are not renewed and count as silent, so the granter
- * takes itself for cut off and gives the lease up. */
+ * gives the lease up as if it were cut off. */
 static void
 connections_that_end_cost_their_own_keys_only (void **state)
 {
