--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -111,8 +111,8 @@
   if (p->fence != 0 && p->server == server && p->born != born)
     {
       if (p->fence > h->fence)
-        world_fail ("key %u went to life %u of %u with fence %u, life %u had "
-                    "it with %u",
+        world_fail ("key %u went to process %u of %u with fence %u, process %u "
+                    "had it with %u",
                     p->from, (guint) born, server, (guint) h->fence,
                     (guint) p->born, (guint) p->fence);
       world.repeated_fences += p->fence == h->fence;
--- a/test/test_two_holders.c
+++ b/test/test_two_holders.c
@@ -13,7 +13,7 @@
 #include "granter_world.h"
 #include "metrics.h"
 
-#define NOBODY GRANTERS
+#define NO_PROCESS GRANTERS
 
 static void
 run_for (gint64 time)
@@ -46,7 +46,7 @@
   for (guint i = 0; i < GRANTERS; i++)
     if (i != other && cc_granter_holds_lease (world.processes[i].granter))
       return i;
-  return NOBODY;
+  return NO_PROCESS;
 }
 
 /* Runs until a process other than OTHER holds the lease, and returns its
@@ -55,9 +55,9 @@
 run_until_held_by_another (guint other)
 {
   for (guint i = 0;
-       i < 5 * CC_SECOND / STEP && holder_other_than (other) == NOBODY; i++)
+       i < 5 * CC_SECOND / STEP && holder_other_than (other) == NO_PROCESS; i++)
     run_for (STEP);
-  assert_int_not_equal (holder_other_than (other), NOBODY);
+  assert_int_not_equal (holder_other_than (other), NO_PROCESS);
   return holder_other_than (other);
 }
 
@@ -70,7 +70,7 @@
       &(WorldKind){ .seed = 1, .servers = servers_count, .all_faults = TRUE });
   run_for (6 * CC_SECOND);
   assert_true (world_share_held () > 0.9999);
-  return holder_other_than (NOBODY);
+  return holder_other_than (NO_PROCESS);
 }
 
 /* Cuts all processes but ONLY off from the servers below COUNT, and removes
