--- a/granted_pool.h
+++ b/granted_pool.h
@@ -1,4 +1,5 @@
-/* One pool's keys in the process that grants them: ranges, grants and load. */
+/* The keys of one pool in the process that grants them: ranges, grants and
+ * load. */
 #ifndef CC_GRANTED_POOL_H
 #define CC_GRANTED_POOL_H
 
@@ -9,29 +10,29 @@
 typedef struct
 {
   char *name;
-  CcGrantShared *shared; /* of all pools */
+  CcGrantShared *shared; /* shared by all pools */
   CcKeyRanges ranges;
   GPtrArray *grants; /* of CcRangeGrant, one for each range */
   gboolean loaded;   /* the rows of the ranges were read under this lease */
   CcKeyLoad load;
 } CcGrantedPool;
 
-/* How a plan is made. */
+/* Parameters of a plan. */
 typedef struct
 {
-  const CcWorkRates *rates; /* of upstreams */
-  gboolean level;           /* load may be moved */
+  const CcWorkRates *rates; /* work times of upstreams */
+  gboolean rebalance;       /* ranges may be moved to balance load */
   gint64 now;               /* us */
 } CcPoolPlanning;
 
 CcGrantedPool *cc_granted_pool_new (const char *name, CcGrantShared *shared);
 void cc_granted_pool_free (gpointer pool);
-void cc_granted_pool_forget (CcGrantedPool *p);
+void cc_granted_pool_reset (CcGrantedPool *p);
 void cc_granted_pool_load (CcGrantedPool *p, GVariant *rows,
-                           const CcPredecessor *before);
-guint cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *how);
+                           const CcPredecessor *predecessor);
+guint cc_granted_pool_plan (CcGrantedPool *p, const CcPoolPlanning *params);
 guint cc_granted_pool_step (CcGrantedPool *p, gint64 now);
-void cc_granted_pool_dirty (const CcGrantedPool *p, guint most,
-                            GPtrArray *dirty);
+void cc_granted_pool_add_dirty (const CcGrantedPool *p, guint most,
+                                GPtrArray *dirty);
 
 #endif
--- a/granter.h
+++ b/granter.h
@@ -1,5 +1,5 @@
-/* Grants keys to upstreams, in the one process of the fleet that has the
- * lease. */
+/* Grants ranges of keys to upstreams.  Every process has a granter, but only
+ * the one that holds the lease sends grants. */
 #ifndef CC_GRANTER_H
 #define CC_GRANTER_H
 
@@ -8,12 +8,13 @@
 
 typedef struct CcGranter CcGranter;
 
-/* Key of the row that says where reports are wanted: the value is IP:PORT. */
+/* Key of the state row that names the address, IP:PORT, to which load reports
+ * are sent. */
 #define CC_GRANTER_KEY "granter"
 
-/* This process took or renewed the lease by a write that was SENT, us, and took
- * effect as VERSION.  ROWS, a(sts) of key, version and value, were written to
- * STATE with it. */
+/* Called when this process has taken or renewed the lease by a write that was
+ * sent at SENT, us, and was committed as VERSION.  ROWS, a(sts) of key, version
+ * and value, are the state rows that were written in the same transaction. */
 typedef void (*CcGranterRenewed) (guint64 version, gint64 sent, GVariant *rows,
                                   gpointer data);
 
@@ -23,23 +24,25 @@
   CcHttp *http;
   CcTargets *targets;
   const char *instance;
-  const char *address;      /* of this process, for the entries' reports */
-  CcGranterRenewed renewed; /* NULL: nobody is to be told */
-  gpointer data;            /* of RENEWED */
-  gint64 patience; /* how long a lease that nobody ever held is left to others
-                      after the start, us */
+  const char
+      *address; /* of this process, IP:PORT; load reports are sent to it */
+  CcGranterRenewed renewed; /* called after each renewal, or NULL */
+  gpointer data;            /* passed to RENEWED */
+  gint64 patience; /* how long after the start a lease that was never held is
+                      left to other processes, us */
 } CcGranterSetup;
 
 CcGranter *cc_granter_new (const CcGranterSetup *setup);
 void cc_granter_configure (CcGranter *g, const CcRoutes *routes);
-void cc_granter_rank (CcGranter *g, guint rank, guint fleet);
-void cc_granter_named (CcGranter *g);
-void cc_granter_lease_received (CcGranter *g, guint64 version, gint64 seen_at);
+void cc_granter_set_rank (CcGranter *g, guint rank, guint fleet);
+void cc_granter_named_in_table (CcGranter *g);
+void cc_granter_lease_received (CcGranter *g, guint64 version,
+                                gint64 received_at);
 void cc_granter_targets_changed (CcGranter *g, gint64 outage);
 void cc_granter_add_load (CcGranter *g, const char *pool, guint key,
                           guint count);
-void cc_granter_work (CcGranter *g, const char *target, double work,
-                      guint answers);
+void cc_granter_add_work (CcGranter *g, const char *target, double work,
+                          guint answers);
 void cc_granter_tick (CcGranter *g);
 gboolean cc_granter_holds_lease (const CcGranter *g);
 void cc_granter_resign (CcGranter *g);
--- a/test/test_grant_time.c
+++ b/test/test_grant_time.c
@@ -61,7 +61,7 @@
 {
   CcView view;
   CcVersionClock clock = { 0 };
-  CcListed listed = { .view = &view, .clock = &clock };
+  CcTargetsSource listed = { .view = &view, .clock = &clock };
 
   cc_targets_init (t);
   cc_view_init (&view);
@@ -98,7 +98,7 @@
   p = cc_granted_pool_new (POOL, &shared);
   for (guint i = 0; i < RANGES; i++)
     add_range (p, 10 * i);
-  cc_clock_advance (CC_GRANTER_BLIND - CC_MS);
+  cc_clock_advance (CC_GRANTER_RENEWAL_LIMIT - CC_MS);
   calls.each_takes = 2 * CC_MS;
   cc_granted_pool_step (p, cc_clock_now ());
   assert_int_equal (calls.sent, 1);
--- a/test/test_hedge.c
+++ b/test/test_hedge.c
@@ -1,4 +1,5 @@
-/* When an attempt at idempotent work is given up for a fresh one. */
+/* Guards against reads that wait on a silent connection until their deadline,
+ * and against second attempts that only add work to a slow server. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,15 +12,15 @@
 typedef struct
 {
   const char *name;
-  CcHedgeAsk ask;
+  CcHedgeAttempt attempt;
   gboolean again;
 } Case;
 
-/* once-only, age in us, overtaken, cost of mean and deviation in us */
+/* once-only, age in us, later answers, mean and deviation of the cost in us */
 static const Case cases[] = {
   { "silent connection", { FALSE, 40000, 4, { 4000, 1000 } }, TRUE },
   { "slow server: slow for all", { FALSE, 40000, 3, { 4000, 1000 } }, FALSE },
-  { "frozen server", { FALSE, 900000, 0, { 4000, 1000 } }, FALSE },
+  { "stalled server", { FALSE, 900000, 0, { 4000, 1000 } }, FALSE },
   { "once-only", { TRUE, 900000, 900, { 4000, 1000 } }, FALSE },
   { "long by nature", { FALSE, 90000, 90, { 80000, 20000 } }, FALSE },
   { "a lost packet", { FALSE, 15000, 99, { 1000, 100 } }, FALSE },
@@ -29,28 +30,28 @@
 test_cases (void **state)
 {
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
-    if (cc_hedge_decide (&cases[i].ask) != cases[i].again)
+    if (cc_hedge_decide (&cases[i].attempt) != cases[i].again)
       fail_msg ("%s", cases[i].name);
 }
 
 static void
-answer (CcLoad *l, CcWaiting *w, gint64 now)
+answer (CcLoad *l, CcQueueEntry *w, gint64 now)
 {
-  *w = (CcWaiting){ .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
+  *w = (CcQueueEntry){ .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
   assert_true (cc_load_offer (l, w, now).admitted);
   assert_ptr_equal (cc_load_next (l, NULL, NULL, now), w);
   cc_load_done (l, w, CC_LOAD_ANSWERED, now + 4 * CC_MS);
 }
 
-/* A read goes out on a connection that has gone silent.  Others are answered
- * meanwhile.  The caller would be told "unknown" at the deadline; instead the
- * attempt is given up, the limit stays, since the server is well, and the
- * read goes out again.  The second attempt is never given up. */
+/* A read is sent on a connection that has gone silent, and later requests are
+ * answered.  Instead of an unknown outcome at the deadline, the attempt is
+ * abandoned and sent again; the limit stays, since the server is healthy.  The
+ * second attempt is never abandoned. */
 static void
 test_silent_connection (void **state)
 {
-  CcWaiting silent = { .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
-  CcWaiting other;
+  CcQueueEntry silent = { .within = 100 * CC_MS, .left = CC_SECOND, .kind = 1 };
+  CcQueueEntry other;
   guint limit;
   CcLoad l;
 
--- a/test/test_retry.c
+++ b/test/test_retry.c
@@ -1,4 +1,5 @@
-/* The budget of retries, against counting by hand. */
+/* Guards against retries that multiply the load of a failing server, and
+ * against retries of work that must not run twice. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -40,9 +41,9 @@
     }
 }
 
-/* Everything fails: naive, three tries each make three times the load.  Here
- * each seed draws a share of failures, and retries stay within a tenth of the
- * first attempts and the burst; another class's budget is untouched. */
+/* With three tries for each request, failures would triple the load.  Each
+ * seed draws a failure rate; retries stay within a tenth of the first attempts
+ * plus the burst, and another class's budget is not affected. */
 static void
 test_wave_of_failures (void **state)
 {
@@ -56,7 +57,7 @@
       cc_retries_init (&r);
       for (guint i = 1; i <= 1000; i++)
         {
-          cc_retries_first (&r, 1);
+          cc_retries_earn (&r, 1);
           if (g_rand_double (rand) < failing)
             retries += cc_retries_take (&r, 1, FALSE, CC_FAIL_UNKNOWN, 1);
           if (retries > i / 10 + 10)
