--- a/assign.c
+++ b/assign.c
@@ -100,9 +100,9 @@
   g_hash_table_insert (reports_of (a, r->pool), g_strdup (r->server), one);
   if (m == NULL)
     return;
-  cc_unit_loads_take (planner_of (a, r->pool)->loads, m, r->server, r->loads,
-                      cc_clock_now ());
-  cc_hot_units_take (planner_of (a, r->pool)->hot, r->hot, cc_clock_now ());
+  cc_unit_loads_update (planner_of (a, r->pool)->loads, m, r->server, r->loads,
+                        cc_clock_now ());
+  cc_hot_units_update (planner_of (a, r->pool)->hot, r->hot, cc_clock_now ());
 }
 
 static void
@@ -207,7 +207,7 @@
 
   if (m != NULL && before != NULL && before->version == w->before)
     {
-      ids = cc_slicemap_concerned (m, before);
+      ids = cc_slicemap_affected_dispatchers (m, before);
       cc_follower_wrote (f, w->key, version, w->value);
       cc_follower_send_map (f, w->key, ids);
       g_hash_table_unref (ids);
@@ -237,7 +237,7 @@
   CcTransaction *x = cc_transaction_new ();
   Write *w;
 
-  cc_slicemap_note_reason (m, cc_follower_map (a->follower, m->pool));
+  cc_slicemap_update_reason (m, cc_follower_map (a->follower, m->pool));
   w = write_new (a, m);
   ++*a->steps;
   g_hash_table_add (a->writing, g_strdup (m->pool));
@@ -264,7 +264,7 @@
   m = row != NULL ? cc_slicemap_parse (pool->name, row->version, row->value)
                   : cc_slicemap_new (pool->name, pool->slices);
   roster = roster_of (a, pool);
-  cc_planner_answered (p, cc_platform_answer_time (a->platform));
+  cc_planner_set_write_time (p, cc_platform_answer_time (a->platform));
   if (m != NULL &&
       cc_planner_step (p, m, pool, roster, reports_of (a, pool->name),
                        cc_clock_now ()) > 0)
--- a/assignment.c
+++ b/assignment.c
@@ -8,7 +8,7 @@
  *    units move a part at a time, so that the next ones are not flooded.  While
  *    writes are slow, units on their way to one are sent elsewhere.
  *  - A server that joins is filled up to its share as it warms up
- *    (standing.c).
+ *    (server_shares.c).
  *  - Otherwise load is evened out only when the imbalance has stood above a
  *    trigger for a time, then down to a goal below the trigger, and within a
  *    budget of moves.  Without the gap between the two, and without the time,
@@ -24,7 +24,7 @@
 
 #include "balance.h"
 #include "log.h"
-#include "standing.h"
+#include "server_shares.h"
 
 typedef struct
 {
@@ -78,8 +78,8 @@
 
   p->loads = cc_unit_loads_new ();
   p->hot = cc_hot_units_new ();
-  p->standings = cc_standings_new ();
-  p->stamps = cc_move_stamps_new ();
+  p->standings = cc_server_shares_new ();
+  p->stamps = cc_move_versions_new ();
   p->moved_at = g_array_new (FALSE, TRUE, sizeof (gint64));
   p->began = g_array_new (FALSE, TRUE, sizeof (gint64));
   return p;
@@ -91,8 +91,8 @@
 {
   cc_unit_loads_free (p->loads);
   cc_hot_units_free (p->hot);
-  cc_standings_free (p->standings);
-  cc_move_stamps_free (p->stamps);
+  cc_server_shares_free (p->standings);
+  cc_move_versions_free (p->stamps);
   g_array_unref (p->moved_at);
   g_array_unref (p->began);
   g_free (p);
@@ -100,7 +100,7 @@
 
 /* The table's answers, and so the writes of maps, take USUAL us at present. */
 void
-cc_planner_answered (CcPlanner *p, gint64 usual)
+cc_planner_set_write_time (CcPlanner *p, gint64 usual)
 {
   p->write_usual = usual;
 }
@@ -172,8 +172,8 @@
     {
       const CcMapServer *s = cc_slicemap_server (m, i);
 
-      cc_standings_note (p->standings, s->name, s->state,
-                         starts || cc_slicemap_owned (m, i) > 0, now);
+      cc_server_shares_update (p->standings, s->name, s->state,
+                               starts || cc_slicemap_owned (m, i) > 0, now);
     }
 }
 
@@ -198,12 +198,12 @@
 
   for (guint i = 0; i < m->servers->len; i++)
     any |= cc_moves_can_own (m, (gint32) i) &&
-           cc_standings_share (
+           cc_server_shares_of (
                p->standings, cc_slicemap_server (m, (gint32) i)->name, now) > 0;
   for (guint i = 0; i < m->servers->len; i++)
     {
       const CcMapServer *s = cc_slicemap_server (m, (gint32) i);
-      double share = cc_standings_share (p->standings, s->name, now);
+      double share = cc_server_shares_of (p->standings, s->name, now);
 
       if (!any || (idle && share > 0))
         share = 1;
@@ -245,7 +245,7 @@
 {
   for (guint i = 0; i < m->servers->len; i++)
     g_array_index (b->servers, CcBalanceServer, i).in_doubt =
-        cc_moves_in_doubt (m, (gint32) i, reports);
+        cc_moves_is_unconfirmed (m, (gint32) i, reports);
 }
 
 /* Whether a move takes longer than a leaving server may be emptied in.  Only
@@ -272,7 +272,7 @@
         .load = cc_unit_loads_of (p->loads, i),
         .server = s->server,
         .fixed = !redirect && (s->from >= 0 || !is_unit || on_way->data[i] ||
-                               cc_balance_in_doubt (b, s->server)),
+                               cc_balance_is_unconfirmed (b, s->server)),
         .rests = moved > 0 && now - moved < y->rest,
         .urgent = redirect || (is_unit && !is_served (m, s))
       };
@@ -289,10 +289,10 @@
 
   for (gint32 i = 0; i < (gint32) m->servers->len; i++)
     if (cc_moves_can_own (m, i) &&
-        cc_standings_share (p->standings, cc_slicemap_server (m, i)->name,
-                            now) > 0 &&
-        cc_standings_warming (p->standings, cc_slicemap_server (m, i)->name,
-                              now))
+        cc_server_shares_of (p->standings, cc_slicemap_server (m, i)->name,
+                             now) > 0 &&
+        cc_server_shares_is_warming (p->standings,
+                                     cc_slicemap_server (m, i)->name, now))
       n += cc_balance_fill (b, i, limit - n);
   return n;
 }
@@ -330,7 +330,7 @@
   if (!is_worth_moves (p, y, now))
     return;
   limit = MIN (limit, (guint) p->budget);
-  p->budget -= cc_balance_even (b, y->goal, limit);
+  p->budget -= cc_balance_rebalance (b, y->goal, limit);
 }
 
 static guint
@@ -405,7 +405,7 @@
 place_homeless (CcBalance *b, CcPlanner *p, guint most, guint moving,
                 gint64 now)
 {
-  guint due = homeless_due (p, cc_balance_homeless (b), now);
+  guint due = homeless_due (p, cc_balance_unassigned (b), now);
 
   return cc_balance_place (b, MAX (due, most - MIN (moving, most)));
 }
@@ -435,7 +435,7 @@
     return 0;
   if (idle)
     {
-      cc_balance_even (b, 1, limit);
+      cc_balance_rebalance (b, 1, limit);
       return 0;
     }
   if (calm && placed == 0 && plan_hot (p, m, b, y, now) > 0)
@@ -458,7 +458,7 @@
   CcBalance *b = cc_balance_new ();
   guint changes;
 
-  cc_move_stamps_note (p->stamps, m);
+  cc_move_versions_update (p->stamps, m);
   changes = cc_moves_update (m, roster, reports, p->stamps);
   time_moves (p, m, now);
   note_standings (p, m, now);
@@ -487,7 +487,7 @@
 
   cc_unit_loads_start (p->loads, 1);
   changes = cc_planner_step (p, m, pool != NULL ? pool : &any, roster, reports,
-                             1 + CC_UNIT_LOADS_MATURE);
+                             1 + CC_UNIT_LOADS_MIN_HISTORY);
   cc_planner_free (p);
   return changes;
 }
--- a/assignment.h
+++ b/assignment.h
@@ -13,8 +13,8 @@
 {
   CcUnitLoads *loads;
   CcHotUnits *hot;
-  struct CcStandings *standings;
-  CcMoveStamps *stamps;
+  struct CcServerShares *standings;
+  CcMoveVersions *stamps;
   GArray *moved_at;   /* of gint64 by unit: its last move, us; 0: never */
   GArray *began;      /* of gint64 by unit: when its move began, us; 0: none */
   gint64 move_time;   /* all that moves that have ended took, us */
@@ -34,7 +34,7 @@
 
 CcPlanner *cc_planner_new (void);
 void cc_planner_free (CcPlanner *p);
-void cc_planner_answered (CcPlanner *p, gint64 usual);
+void cc_planner_set_write_time (CcPlanner *p, gint64 usual);
 guint cc_planner_step (CcPlanner *p, CcSliceMap *m, const CcPool *pool,
                        const CcRoster *roster, GHashTable *reports, gint64 now);
 guint cc_assignment_step (CcSliceMap *m, const CcPool *pool,
--- a/balance.c
+++ b/balance.c
@@ -69,7 +69,7 @@
 /* Whether SERVER's dispatcher can't say yet that what it takes from it stops;
  * -1: there is no server. */
 gboolean
-cc_balance_in_doubt (const CcBalance *b, gint32 server)
+cc_balance_is_unconfirmed (const CcBalance *b, gint32 server)
 {
   return server >= 0 &&
          g_array_index (b->servers, CcBalanceServer, server).in_doubt;
@@ -139,7 +139,7 @@
 /* The server whose load, with WEIGHT more, is lowest for its share; -1 if none
  * is fit. */
 gint32
-cc_balance_least (const CcBalance *b, double weight)
+cc_balance_least_loaded (const CcBalance *b, double weight)
 {
   gint32 best = -1;
   double best_load = 0;
@@ -198,7 +198,7 @@
 
 /* How many units wait for another server, since theirs may not own them. */
 guint
-cc_balance_homeless (const CcBalance *b)
+cc_balance_unassigned (const CcBalance *b)
 {
   guint n = 0;
 
@@ -230,7 +230,7 @@
   for (guint i = 0; i < all->len; i++)
     {
       const Homeless *h = &g_array_index (all, Homeless, i);
-      gint32 to = cc_balance_least (b, h->weight);
+      gint32 to = cc_balance_least_loaded (b, h->weight);
 
       if (to < 0 || (!h->urgent && limit == 0))
         break;
@@ -357,7 +357,7 @@
 /* Moves units, LIMIT at most, until no server that can be relieved has more
  * than GOAL times its target.  Returns how many were chosen. */
 guint
-cc_balance_even (CcBalance *b, double goal, guint limit)
+cc_balance_rebalance (CcBalance *b, double goal, guint limit)
 {
   g_autofree gboolean *skip = g_new0 (gboolean, b->servers->len + 1);
   guint n = 0;
@@ -365,7 +365,7 @@
   while (n < limit)
     {
       gint32 from = furthest_above (b, goal, skip);
-      gint32 to = cc_balance_least (b, 0);
+      gint32 to = cc_balance_least_loaded (b, 0);
 
       if (from < 0)
         break;
--- a/balance.h
+++ b/balance.h
@@ -40,16 +40,16 @@
 
 CcBalance *cc_balance_new (void);
 void cc_balance_free (CcBalance *b);
-gboolean cc_balance_in_doubt (const CcBalance *b, gint32 server);
+gboolean cc_balance_is_unconfirmed (const CcBalance *b, gint32 server);
 void cc_balance_add_server (CcBalance *b, gboolean fit, double share);
 void cc_balance_add_unit (CcBalance *b, const CcBalanceUnit *unit);
 void cc_balance_prepare (CcBalance *b);
 double cc_balance_target (const CcBalance *b, gint32 server);
 double cc_balance_imbalance (const CcBalance *b);
-guint cc_balance_homeless (const CcBalance *b);
+guint cc_balance_unassigned (const CcBalance *b);
 guint cc_balance_place (CcBalance *b, guint limit);
 guint cc_balance_fill (CcBalance *b, gint32 server, guint limit);
-guint cc_balance_even (CcBalance *b, double goal, guint limit);
-gint32 cc_balance_least (const CcBalance *b, double weight);
+guint cc_balance_rebalance (CcBalance *b, double goal, guint limit);
+gint32 cc_balance_least_loaded (const CcBalance *b, double weight);
 
 #endif
--- a/hot_units.c
+++ b/hot_units.c
@@ -76,7 +76,7 @@
 
 /* Takes in HOT, a(tud) of hash, unit and load, reported at NOW. */
 void
-cc_hot_units_take (CcHotUnits *h, GVariant *hot, gint64 now)
+cc_hot_units_update (CcHotUnits *h, GVariant *hot, gint64 now)
 {
   GVariantIter iter;
   Candidate c = { .since = now, .seen = now };
@@ -128,7 +128,7 @@
 
   return unit < m->slices->len && s->from < 0 && s->server >= 0 &&
          cc_moves_can_own (m, s->server) &&
-         !cc_balance_in_doubt (b, s->server) &&
+         !cc_balance_is_unconfirmed (b, s->server) &&
          c->load >= HOT_PART * mean_target (b) &&
          now - c->since >= y->patience &&
          server_load (b, s->server) > y->trigger;
@@ -155,7 +155,7 @@
 place_for (const Candidate *c, const CcSliceMap *m, const CcBalance *b)
 {
   gint32 here = cc_slicemap_at (m, cc_slicemap_unit (m, c->hash))->server;
-  gint32 least = cc_balance_least (b, c->load);
+  gint32 least = cc_balance_least_loaded (b, c->load);
   double there;
 
   if (least < 0 || least == here)
@@ -216,8 +216,8 @@
       guint slice = cc_slicemap_slice (m, cc_slicemap_hot (m, i)->hash);
 
       if (!has_cooled (h, m, i, load, b, y, now) ||
-          cc_balance_in_doubt (b, cc_slicemap_at (m, i)->server) ||
-          cc_balance_in_doubt (b, cc_slicemap_at (m, slice)->server) ||
+          cc_balance_is_unconfirmed (b, cc_slicemap_at (m, i)->server) ||
+          cc_balance_is_unconfirmed (b, cc_slicemap_at (m, slice)->server) ||
           !cc_moves_fold (m, i))
         continue;
       cc_unit_loads_set (loads, i, 0);
--- a/hot_units.h
+++ b/hot_units.h
@@ -17,7 +17,7 @@
 
 CcHotUnits *cc_hot_units_new (void);
 void cc_hot_units_free (CcHotUnits *h);
-void cc_hot_units_take (CcHotUnits *h, GVariant *hot, gint64 now);
+void cc_hot_units_update (CcHotUnits *h, GVariant *hot, gint64 now);
 gint32 cc_hot_units_split (CcHotUnits *h, CcSliceMap *m, CcUnitLoads *loads,
                            const CcBalance *b, const CcHotPolicy *y,
                            gint64 now);
--- a/map_change.c
+++ b/map_change.c
@@ -132,7 +132,7 @@
 /* Sets M's reason from what differs from BEFORE, the map that it replaces;
  * NULL if it is the first. */
 void
-cc_slicemap_note_reason (CcSliceMap *m, const CcSliceMap *before)
+cc_slicemap_update_reason (CcSliceMap *m, const CcSliceMap *before)
 {
   ServerTallies t = { 0 };
   g_autoptr (GString) text = g_string_new (NULL);
@@ -190,7 +190,7 @@
  * hold, or will hold, a server that changes hands or whose units do.  Free with
  * g_hash_table_unref. */
 GHashTable *
-cc_slicemap_concerned (const CcSliceMap *m, const CcSliceMap *before)
+cc_slicemap_affected_dispatchers (const CcSliceMap *m, const CcSliceMap *before)
 {
   GHashTable *ids =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/map_change.h
+++ b/map_change.h
@@ -4,8 +4,8 @@
 
 #include "slicemap.h"
 
-GHashTable *cc_slicemap_concerned (const CcSliceMap *m,
-                                   const CcSliceMap *before);
-void cc_slicemap_note_reason (CcSliceMap *m, const CcSliceMap *before);
+GHashTable *cc_slicemap_affected_dispatchers (const CcSliceMap *m,
+                                              const CcSliceMap *before);
+void cc_slicemap_update_reason (CcSliceMap *m, const CcSliceMap *before);
 
 #endif
--- a/move_stamps.c
+++ b/move_versions.c
@@ -7,7 +7,7 @@
  * on its way is nobody's until its move ends.  So the version in which a move
  * began is enough, and it is the one in which a row first shows the move.  Who
  * did not see the move begin takes the first version that it sees. */
-#include "move_stamps.h"
+#include "move_versions.h"
 
 typedef struct
 {
@@ -17,17 +17,17 @@
   guint64 version; /* of the map that first showed it */
 } Stamp;
 
-struct CcMoveStamps
+struct CcMoveVersions
 {
   GArray *units;       /* of Stamp, by unit */
   GHashTable *servers; /* name to Stamp */
 };
 
 /* Nothing is on its way. */
-CcMoveStamps *
-cc_move_stamps_new (void)
+CcMoveVersions *
+cc_move_versions_new (void)
 {
-  CcMoveStamps *t = g_new0 (CcMoveStamps, 1);
+  CcMoveVersions *t = g_new0 (CcMoveVersions, 1);
 
   t->units = g_array_new (FALSE, TRUE, sizeof (Stamp));
   t->servers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -36,7 +36,7 @@
 
 /* Frees T. */
 void
-cc_move_stamps_free (CcMoveStamps *t)
+cc_move_versions_free (CcMoveVersions *t)
 {
   g_array_unref (t->units);
   g_hash_table_unref (t->servers);
@@ -54,7 +54,7 @@
 }
 
 static void
-note_unit (CcMoveStamps *t, const CcSliceMap *m, guint unit)
+note_unit (CcMoveVersions *t, const CcSliceMap *m, guint unit)
 {
   const CcMapSlice *u = cc_slicemap_at (m, unit);
   const CcMapServer *to = cc_slicemap_server (m, u->server);
@@ -68,7 +68,7 @@
 }
 
 static void
-note_server (CcMoveStamps *t, const CcMapServer *server, guint64 version)
+note_server (CcMoveVersions *t, const CcMapServer *server, guint64 version)
 {
   Stamp *s = g_hash_table_lookup (t->servers, server->name);
 
@@ -87,7 +87,7 @@
 
 /* Takes in M as it was read, unchanged. */
 void
-cc_move_stamps_note (CcMoveStamps *t, const CcSliceMap *m)
+cc_move_versions_update (CcMoveVersions *t, const CcSliceMap *m)
 {
   if (t->units->len < cc_slicemap_units (m))
     g_array_set_size (t->units, cc_slicemap_units (m));
@@ -99,7 +99,7 @@
 
 /* The version since which UNIT of M, which was noted, is on its way. */
 guint64
-cc_move_stamps_unit (const CcMoveStamps *t, const CcSliceMap *m, guint unit)
+cc_move_versions_unit (const CcMoveVersions *t, const CcSliceMap *m, guint unit)
 {
   const Stamp *s =
       unit < t->units->len ? &g_array_index (t->units, Stamp, unit) : NULL;
@@ -109,8 +109,8 @@
 
 /* The version since which SERVER of M, which was noted, is handed over. */
 guint64
-cc_move_stamps_server (const CcMoveStamps *t, const CcSliceMap *m,
-                       const char *server)
+cc_move_versions_server (const CcMoveVersions *t, const CcSliceMap *m,
+                         const char *server)
 {
   const Stamp *s = g_hash_table_lookup (t->servers, server);
 
--- a/ownership_moves.c
+++ b/ownership_moves.c
@@ -140,13 +140,13 @@
 /* The second half: the old dispatcher has stopped, or has lost its lease. */
 static guint
 finish_handover (CcSliceMap *m, CcMapServer *s, const CcRoster *roster,
-                 GHashTable *reports, const CcMoveStamps *stamps)
+                 GHashTable *reports, const CcMoveVersions *stamps)
 {
   const CcServerReport *r = report_of (reports, s, s->from);
 
   if ((cc_roster_dispatcher (roster, s->from) != NULL ||
        !cc_cut_off_has_stopped (roster, s->from)) &&
-      (r == NULL || r->applied < cc_move_stamps_server (stamps, m, s->name)))
+      (r == NULL || r->applied < cc_move_versions_server (stamps, m, s->name)))
     return 0;
   set_text (&s->from, "");
   return 1;
@@ -154,7 +154,7 @@
 
 static guint
 update_dispatchers (CcSliceMap *m, const CcRoster *roster, GHashTable *reports,
-                    const CcMoveStamps *stamps)
+                    const CcMoveVersions *stamps)
 {
   guint changes = 0;
 
@@ -173,7 +173,7 @@
 /* Whether the server that UNIT moves away from has stopped serving it. */
 static gboolean
 has_stopped (const CcSliceMap *m, guint unit, GHashTable *reports,
-             const CcMoveStamps *stamps)
+             const CcMoveVersions *stamps)
 {
   const CcMapServer *from =
       cc_slicemap_server (m, cc_slicemap_at (m, unit)->from);
@@ -181,7 +181,7 @@
       from != NULL ? report_of (reports, from, from->dispatcher) : NULL;
 
   return from != NULL && from->from[0] == '\0' && r != NULL &&
-         r->applied >= cc_move_stamps_unit (stamps, m, unit);
+         r->applied >= cc_move_versions_unit (stamps, m, unit);
 }
 
 /* Whether a hot key is on its way back into SLICE. */
@@ -201,7 +201,7 @@
 /* Lets hot keys settle, or be part of their slice again.  The slice itself is
  * not settled before, so nobody owns the key in between. */
 static guint
-finish_hot (CcSliceMap *m, GHashTable *reports, const CcMoveStamps *stamps)
+finish_hot (CcSliceMap *m, GHashTable *reports, const CcMoveVersions *stamps)
 {
   guint changes = 0;
 
@@ -221,7 +221,7 @@
 
 /* Lets slices settle whose old server has stopped serving them. */
 static guint
-finish_slices (CcSliceMap *m, GHashTable *reports, const CcMoveStamps *stamps)
+finish_slices (CcSliceMap *m, GHashTable *reports, const CcMoveVersions *stamps)
 {
   guint changes = 0;
 
@@ -243,7 +243,7 @@
  * Returns how many changes were made. */
 guint
 cc_moves_update (CcSliceMap *m, const CcRoster *roster, GHashTable *reports,
-                 const CcMoveStamps *stamps)
+                 const CcMoveVersions *stamps)
 {
   guint changes = update_servers (m, roster, reports);
 
@@ -265,7 +265,8 @@
  * has stopped (holding.h): what is taken from it would have no owner until it
  * can, for as long as a request may last. */
 gboolean
-cc_moves_in_doubt (const CcSliceMap *m, gint32 server, GHashTable *reports)
+cc_moves_is_unconfirmed (const CcSliceMap *m, gint32 server,
+                         GHashTable *reports)
 {
   const CcMapServer *s = cc_slicemap_server (m, server);
   const CcServerReport *r;
@@ -318,7 +319,7 @@
 
   if (slice >= m->slices->len || s->from >= 0 || s->server < 0)
     return -1;
-  unit = cc_slicemap_free_hot (m);
+  unit = cc_slicemap_alloc_hot (m);
   if (unit < 0)
     return -1;
   h = cc_slicemap_hot (m, (guint) unit);
--- a/ownership_moves.h
+++ b/ownership_moves.h
@@ -3,7 +3,7 @@
 #ifndef CC_OWNERSHIP_MOVES_H
 #define CC_OWNERSHIP_MOVES_H
 
-#include "move_stamps.h"
+#include "move_versions.h"
 #include "roster.h"
 #include "slicemap.h"
 
@@ -16,10 +16,10 @@
 } CcServerReport;
 
 guint cc_moves_update (CcSliceMap *m, const CcRoster *roster,
-                       GHashTable *reports, const CcMoveStamps *stamps);
+                       GHashTable *reports, const CcMoveVersions *stamps);
 gboolean cc_moves_can_own (const CcSliceMap *m, gint32 server);
-gboolean cc_moves_in_doubt (const CcSliceMap *m, gint32 server,
-                            GHashTable *reports);
+gboolean cc_moves_is_unconfirmed (const CcSliceMap *m, gint32 server,
+                                  GHashTable *reports);
 gboolean cc_moves_is_folded_into (const CcSliceMap *m, guint slice);
 gboolean cc_moves_may_redirect (const CcSliceMap *m, guint unit);
 void cc_moves_redirect (CcSliceMap *m, guint unit, gint32 to);
--- a/standing.c
+++ b/server_shares.c
@@ -16,7 +16,7 @@
  * still holds a server back: the units come from another assigner, which
  * remembers other losses, and taken away they would be given back at once.
  */
-#include "standing.h"
+#include "server_shares.h"
 
 typedef struct
 {
@@ -27,16 +27,16 @@
   guint recent_losses;
 } Standing;
 
-struct CcStandings
+struct CcServerShares
 {
   GHashTable *by_name; /* server to Standing */
 };
 
 /* An empty table. */
-CcStandings *
-cc_standings_new (void)
+CcServerShares *
+cc_server_shares_new (void)
 {
-  CcStandings *t = g_new0 (CcStandings, 1);
+  CcServerShares *t = g_new0 (CcServerShares, 1);
 
   t->by_name = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return t;
@@ -44,7 +44,7 @@
 
 /* Frees T. */
 void
-cc_standings_free (CcStandings *t)
+cc_server_shares_free (CcServerShares *t)
 {
   g_hash_table_unref (t->by_name);
   g_free (t);
@@ -53,7 +53,7 @@
 static void
 note_loss (Standing *s, gint64 now)
 {
-  if (now - s->last_loss > CC_FLAP_MEMORY)
+  if (now - s->last_loss > CC_FLAP_WINDOW)
     s->recent_losses = 0;
   s->recent_losses++;
   s->last_loss = now;
@@ -77,8 +77,8 @@
 /* To be told at each step: SERVER is in STATE; OWNS tells whether any unit is
  * its own. */
 void
-cc_standings_note (CcStandings *t, const char *server, CcServerState state,
-                   gboolean owns, gint64 now)
+cc_server_shares_update (CcServerShares *t, const char *server,
+                         CcServerState state, gboolean owns, gint64 now)
 {
   Standing *s = g_hash_table_lookup (t->by_name, server);
   gboolean live = state == CC_SERVER_LIVE;
@@ -86,7 +86,7 @@
   if (s == NULL)
     {
       s = g_new0 (Standing, 1);
-      s->last_loss = -CC_FLAP_MEMORY - 1;
+      s->last_loss = -CC_FLAP_WINDOW - 1;
       g_hash_table_insert (t->by_name, g_strdup (server), s);
     }
   if (live && !s->live)
@@ -103,7 +103,7 @@
 
 /* The part of a warm server's load that SERVER is to have at NOW, 0 to 1. */
 double
-cc_standings_share (const CcStandings *t, const char *server, gint64 now)
+cc_server_shares_of (const CcServerShares *t, const char *server, gint64 now)
 {
   const Standing *s = g_hash_table_lookup (t->by_name, server);
   gint64 warming, step;
@@ -122,7 +122,8 @@
 /* Whether SERVER is still to be brought up to its share, rather than to wait
  * for an imbalance that is worth a move. */
 gboolean
-cc_standings_warming (const CcStandings *t, const char *server, gint64 now)
+cc_server_shares_is_warming (const CcServerShares *t, const char *server,
+                             gint64 now)
 {
   const Standing *s = g_hash_table_lookup (t->by_name, server);
 
--- a/slicemap.c
+++ b/slicemap.c
@@ -248,7 +248,7 @@
 
 /* The number of a unit that is free for a hot key, or -1 if all are taken. */
 gint32
-cc_slicemap_free_hot (CcSliceMap *m)
+cc_slicemap_alloc_hot (CcSliceMap *m)
 {
   CcMapHot h = { 0, CC_HOT_FREE, { -1, -1, 0 } };
 
--- a/slicemap.h
+++ b/slicemap.h
@@ -72,7 +72,7 @@
 guint cc_slicemap_unit (const CcSliceMap *m, guint64 hash);
 guint cc_slicemap_units (const CcSliceMap *m);
 CcMapHot *cc_slicemap_hot (const CcSliceMap *m, guint unit);
-gint32 cc_slicemap_free_hot (CcSliceMap *m);
+gint32 cc_slicemap_alloc_hot (CcSliceMap *m);
 CcMapServer *cc_slicemap_server (const CcSliceMap *m, gint32 index);
 gint32 cc_slicemap_find (const CcSliceMap *m, const char *server);
 CcMapSlice *cc_slicemap_at (const CcSliceMap *m, guint unit);
--- a/test/ownership_assigner.c
+++ b/test/ownership_assigner.c
@@ -102,7 +102,8 @@
                       : cc_slicemap_new (POOL, SLICES);
   CcRoster *r = roster_of (w, p);
 
-  cc_planner_answered (p->planner, w->now < w->slow_until ? CC_SECOND : 0);
+  cc_planner_set_write_time (p->planner,
+                             w->now < w->slow_until ? CC_SECOND : 0);
   if (cc_planner_step (p->planner, m, &pool, r, p->reports, w->now) > 0)
     {
       Event *e = world_begin_call (w, p, EV_COMMIT);
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 #include "balance.h"
-#include "standing.h"
+#include "server_shares.h"
 #include "world.h"
 
 #define SLICES 256
@@ -90,7 +90,7 @@
       CcBalance *b = balance_of (&cases[i]);
       guint moves = cc_balance_place (b, 100);
 
-      moves += cc_balance_even (b, 1.02, 100);
+      moves += cc_balance_rebalance (b, 1.02, 100);
       if (moves != cases[i].moves ||
           cc_balance_imbalance (b) > cases[i].imbalance)
         print_message ("%s: %u moves, imbalance %.3f\n", cases[i].name, moves,
--- a/test/test_map_change.c
+++ b/test/test_map_change.c
@@ -104,7 +104,7 @@
       CcSliceMap *before = settled (), *m = settled ();
 
       cases[i].change (m);
-      cc_slicemap_note_reason (m, before);
+      cc_slicemap_update_reason (m, before);
       if (strstr (m->reason, cases[i].reason) == NULL)
         fail_msg ("case %u: \"%s\"", i, m->reason);
       cc_slicemap_free (before);
@@ -121,7 +121,7 @@
   leave (before);
   leave (m);
   cc_slicemap_at (m, 0)->from = -1;
-  cc_slicemap_note_reason (m, before);
+  cc_slicemap_update_reason (m, before);
   assert_string_equal (m->reason, "earlier");
   cc_slicemap_free (before);
   cc_slicemap_free (m);
@@ -150,7 +150,7 @@
       g_autoptr (GHashTable) ids = NULL;
 
       cases[i].change (m);
-      ids = cc_slicemap_concerned (m, before);
+      ids = cc_slicemap_affected_dispatchers (m, before);
       if (g_hash_table_contains (ids, "d1") != cases[i].d1 ||
           g_hash_table_contains (ids, "d2") != cases[i].d2 ||
           g_hash_table_contains (ids, "d9") != cases[i].d9)
--- a/test/test_slicemap.c
+++ b/test/test_slicemap.c
@@ -59,7 +59,7 @@
   CcRoster *roster;
   Dispatcher d[DISPATCHERS];
   CcHolding *held[SERVERS]; /* NULL before its dispatcher has it */
-  CcMoveStamps *stamps;
+  CcMoveVersions *stamps;
   GHashTable *reports;
   GPtrArray *running; /* of Attempt */
   GPtrArray *parcels; /* of Parcel */
@@ -156,7 +156,7 @@
     }
   for (guint i = 0; i < KEYS; i++)
     s->ids[i] = g_ptr_array_new_with_free_func (g_free);
-  s->stamps = cc_move_stamps_new ();
+  s->stamps = cc_move_versions_new ();
   s->reports =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, report_free);
   s->running = g_ptr_array_new_with_free_func (attempt_free);
@@ -182,7 +182,7 @@
     }
   for (guint i = 0; i < KEYS; i++)
     g_ptr_array_unref (s->ids[i]);
-  cc_move_stamps_free (s->stamps);
+  cc_move_versions_free (s->stamps);
   g_hash_table_unref (s->reports);
   g_hash_table_unref (s->ran);
   g_ptr_array_unref (s->running);
@@ -202,7 +202,7 @@
   CcMapHot *h = cc_slicemap_hot (s->map, unit);
   gint32 to = (gint32) pick (s, SERVERS);
 
-  cc_move_stamps_note (s->stamps, s->map);
+  cc_move_versions_update (s->stamps, s->map);
   changes = cc_moves_update (s->map, s->roster, s->reports, s->stamps);
   if (pick (s, 3) == 0 && u->from >= 0 && u->server >= 0 &&
       !(h == NULL && cc_moves_is_folded_into (s->map, unit)))
--- a/test/world.c
+++ b/test/world.c
@@ -136,7 +136,7 @@
         cc_slicemap_at (w->map, i)->from < 0)
       g_variant_builder_add (&b, "(ud)", i, measured (w, world_load (w, i)));
   loads = g_variant_ref_sink (g_variant_builder_end (&b));
-  cc_unit_loads_take (w->planner->loads, w->map, name, loads, w->now);
+  cc_unit_loads_update (w->planner->loads, w->map, name, loads, w->now);
 }
 
 static void
@@ -155,7 +155,7 @@
                              measured (w, k->load));
     }
   hot = g_variant_ref_sink (g_variant_builder_end (&b));
-  cc_hot_units_take (w->planner->hot, hot, w->now);
+  cc_hot_units_update (w->planner->hot, hot, w->now);
 }
 
 /* The newest version of the map that dispatchers tell of by now. */
@@ -284,7 +284,7 @@
   report (w, reports);
   if (w->now % LOADS_PERIOD == 0)
     report_hot (w);
-  cc_planner_answered (w->planner, w->write);
+  cc_planner_set_write_time (w->planner, w->write);
   if (w->now >= w->writing && cc_planner_step (w->planner, w->map, &w->pool,
                                                roster, reports, w->now) > 0)
     {
--- a/unit_loads.c
+++ b/unit_loads.c
@@ -49,7 +49,7 @@
 fade (UnitLoad *u, gint64 now)
 {
   if (u->taken > 0 && now > u->taken)
-    u->load *= exp (-(double) (now - u->taken) / (double) CC_UNIT_LOADS_FADE);
+    u->load *= exp (-(double) (now - u->taken) / (double) CC_UNIT_LOADS_DECAY);
   u->taken = now;
 }
 
@@ -65,8 +65,8 @@
  * that are not the server's in M are passed over: the report is older than
  * their move. */
 void
-cc_unit_loads_take (CcUnitLoads *l, const CcSliceMap *m, const char *server,
-                    GVariant *loads, gint64 now)
+cc_unit_loads_update (CcUnitLoads *l, const CcSliceMap *m, const char *server,
+                      GVariant *loads, gint64 now)
 {
   gint32 index = cc_slicemap_find (m, server);
   GVariantIter iter;
@@ -75,7 +75,7 @@
 
   if (index < 0)
     return;
-  if (now - l->last > CC_UNIT_LOADS_MATURE)
+  if (now - l->last > CC_UNIT_LOADS_MIN_HISTORY)
     l->first = 0; /* this assigner was not the active one for a while */
   l->last = now;
   cc_unit_loads_start (l, now);
@@ -114,5 +114,5 @@
 gboolean
 cc_unit_loads_known (const CcUnitLoads *l, gint64 now)
 {
-  return l->first > 0 && now - l->first >= CC_UNIT_LOADS_MATURE;
+  return l->first > 0 && now - l->first >= CC_UNIT_LOADS_MIN_HISTORY;
 }
--- a/unit_meter.c
+++ b/unit_meter.c
@@ -157,7 +157,7 @@
       UnitMeter *u = value;
 
       decay (u, now);
-      if (now - u->first < CC_METER_MATURE)
+      if (now - u->first < CC_METER_MIN_AGE)
         continue;
       g_variant_builder_add (&b, "(ud)", GPOINTER_TO_UINT (unit),
                              u->arrivals / window (u, now) *
@@ -190,8 +190,8 @@
   decay_hot (m, now);
   sorted = m->hot;
   qsort (sorted.keys, sorted.used, sizeof (CcHotKey), by_sure_count);
-  n = now - m->all.first < CC_METER_MATURE ? 0
-                                           : MIN (sorted.used, HOT_REPORTED);
+  n = now - m->all.first < CC_METER_MIN_AGE ? 0
+                                            : MIN (sorted.used, HOT_REPORTED);
   g_variant_builder_init (&b, G_VARIANT_TYPE ("a(tud)"));
   for (guint i = 0; i < n; i++)
     {
--- a/unit_meter.h
+++ b/unit_meter.h
@@ -10,7 +10,7 @@
 #define CC_METER_TIME (20 * CC_SECOND)
 
 /* A unit is reported from this age on; before, its rate is a guess. */
-#define CC_METER_MATURE (4 * CC_SECOND)
+#define CC_METER_MIN_AGE (4 * CC_SECOND)
 
 typedef struct CcUnitMeter CcUnitMeter;
 
