--- a/assign.c
+++ b/assign.c
@@ -1,8 +1,9 @@
-/* capercrank-assign: decides which server owns which slice of keys and which
- * dispatcher holds which server, and takes operators' documents.
+/* capercrank-assign: assigns slices of keys to servers and servers to
+ * dispatchers, and accepts operators' documents.
  *
- * One per instance, one of them active by a lease row.  Serving never waits
- * for it: without it ownership stays as it is. */
+ * Each instance runs one; a lease row elects the active one.  Serving never
+ * depends on it: while none is active, ownership stays unchanged.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -32,10 +33,10 @@
   CcLeader leader;
   CcVoting *voting;
   CcTakeover *takeover;
-  GHashTable *reports;  /* pool to (server to CcServerReport) */
-  GHashTable *planners; /* pool to CcPlanner */
-  GHashTable *writing;  /* pools whose map is being written */
-  GPtrArray *listed;    /* of CcInstance, servers of the platform's list */
+  GHashTable *reports;       /* pool to (server to CcServerReport) */
+  GHashTable *planners;      /* pool to CcPlanner */
+  GHashTable *writing;       /* pools with a map write in progress */
+  GPtrArray *listed_servers; /* CcInstance: servers listed by the platform */
   CcListing listing;
   CcCounter *steps;
 } Assign;
@@ -43,19 +44,19 @@
 typedef struct
 {
   Assign *assign;
-  char *name;     /* of the pool */
-  char *key;      /* of the row */
-  char *value;    /* that is written */
+  char *name;     /* name of the pool */
+  char *key;      /* key of the row */
+  char *value;    /* value to write */
   guint64 before; /* version that it replaces */
-  gint64 began;   /* us */
-  guint moving;   /* units on their way in what is written */
+  gint64 began;   /* start of the write, us */
+  guint moving;   /* units moving in the written map */
 } Write;
 
 typedef struct
 {
   Assign *assign;
-  guint64 number; /* of the question for the list of instances */
-} Question;
+  guint64 number; /* number of the request for the list of instances */
+} ListRequest;
 
 static void
 report_free (gpointer data)
@@ -89,15 +90,15 @@
 }
 
 static void
-take_report (Assign *a, const CcMsgReport *r)
+receive_report (Assign *a, const CcMsgReport *r)
 {
   const CcSliceMap *m = cc_follower_map (a->follower, r->pool);
-  CcServerReport *one = g_new0 (CcServerReport, 1);
+  CcServerReport *report = g_new0 (CcServerReport, 1);
 
-  one->applied = r->applied;
-  one->lost = r->state != 0;
-  one->dispatcher = g_strdup (r->instance);
-  g_hash_table_insert (reports_of (a, r->pool), g_strdup (r->server), one);
+  report->applied = r->applied;
+  report->lost = r->state != 0;
+  report->dispatcher = g_strdup (r->instance);
+  g_hash_table_insert (reports_of (a, r->pool), g_strdup (r->server), report);
   if (m == NULL)
     return;
   cc_unit_loads_update (planner_of (a, r->pool)->loads, m, r->server, r->loads,
@@ -111,7 +112,7 @@
   Assign *a = data;
 
   if (m->kind == CC_MSG_REPORT)
-    take_report (a, &m->u.report);
+    receive_report (a, &m->u.report);
   else if (m->kind == CC_MSG_ROWS)
     cc_follower_receive (a->follower, m);
   else if (m->kind == CC_MSG_VOTE)
@@ -163,17 +164,18 @@
 
       cc_roster_add_dispatcher (r, m->id, m->zone, m->draining);
     }
-  for (guint i = 0; i < a->listed->len; i++)
+  for (guint i = 0; i < a->listed_servers->len; i++)
     {
-      const CcInstance *one = a->listed->pdata[i];
-
-      if (g_str_equal (one->role, pool->name))
-        cc_roster_add_server (r, one->name, one->address, one->zone,
-                              one->leaving ||
-                                  cc_drain_is_ordered (&a->follower->view,
-                                                       pool->name, one->name));
-      else if (g_str_equal (one->role, "entry"))
-        cc_roster_add_instance (r, one->name);
+      const CcInstance *instance = a->listed_servers->pdata[i];
+
+      if (g_str_equal (instance->role, pool->name))
+        cc_roster_add_server (
+            r, instance->name, instance->address, instance->zone,
+            instance->leaving ||
+                cc_drain_is_ordered (&a->follower->view, pool->name,
+                                     instance->name));
+      else if (g_str_equal (instance->role, "entry"))
+        cc_roster_add_instance (r, instance->name);
     }
   return r;
 }
@@ -186,7 +188,7 @@
   if (status == CC_OK)
     cc_log (CC_LOG_INFO, "map",
             "%s: version %" G_GUINT64_FORMAT " written over %" G_GUINT64_FORMAT
-            " in %" G_GINT64_FORMAT " ms, %u units on their way",
+            " in %" G_GINT64_FORMAT " ms, %u units moving",
             w->name, version, w->before, took, w->moving);
   else
     cc_log (CC_LOG_WARNING, "map",
@@ -195,8 +197,8 @@
             w->name, w->before, (int) status, took);
 }
 
-/* Makes the written map known here and to the dispatchers that have to act on
- * it, without waiting for the next reading of the table. */
+/* Applies the written map locally and sends it to the dispatchers that must
+ * act on it, without waiting for the next poll of the table. */
 static void
 publish (const Write *w, guint64 version)
 {
@@ -242,7 +244,8 @@
   ++*a->steps;
   g_hash_table_add (a->writing, g_strdup (m->pool));
   cc_transaction_check (x, w->key, m->version);
-  /* A dispatcher may already go by a newer document, which says "keep". */
+  /* Conflicts if a newer document exists: a dispatcher may already use one
+   * that sets cut-off to "keep". */
   cc_transaction_check (x, "config/head", a->follower->document_version);
   cc_transaction_put (x, w->key, w->value);
   cc_platform_commit (a->platform, x, on_map_written, w);
@@ -293,24 +296,24 @@
 static void
 on_instances (CcStatus status, GPtrArray *instances, gpointer data)
 {
-  g_autofree Question *q = data;
+  g_autofree ListRequest *q = data;
   Assign *a = q->assign;
 
   if (status != CC_OK || !cc_listing_answered (&a->listing, q->number))
     return;
-  g_ptr_array_unref (a->listed);
-  a->listed = g_ptr_array_ref (instances);
+  g_ptr_array_unref (a->listed_servers);
+  a->listed_servers = g_ptr_array_ref (instances);
 }
 
 static void
-ask_for_instances (Assign *a, gint64 now)
+request_instances (Assign *a, gint64 now)
 {
   guint64 number = cc_listing_ask (&a->listing, now);
-  Question *q;
+  ListRequest *q;
 
   if (number == 0)
     return;
-  q = g_new0 (Question, 1);
+  q = g_new0 (ListRequest, 1);
   q->assign = a;
   q->number = number;
   cc_platform_instances (a->platform, on_instances, q);
@@ -321,18 +324,18 @@
 {
   Assign *a = data;
   gint64 now = cc_clock_now ();
-  gboolean active, plans;
+  gboolean active, may_plan;
 
   cc_leader_tick (&a->leader, &a->follower->view, now);
   active = cc_leader_is_active (&a->leader, now);
-  plans = cc_leader_may_plan (&a->leader, now);
+  may_plan = cc_leader_may_plan (&a->leader, now);
   cc_metrics_gauge ("capercrank_assigner_active", "", active);
   cc_takeover_tick (a->takeover, active, now);
   if (active && cc_voting_is_isolated (a->voting, now))
     cc_leader_resign (&a->leader);
-  if (plans)
-    ask_for_instances (a, now);
-  if (plans && a->listing.taken > 0)
+  if (may_plan)
+    request_instances (a, now);
+  if (may_plan && a->listing.taken > 0)
     plan (a);
   return G_SOURCE_CONTINUE;
 }
@@ -344,7 +347,7 @@
 }
 
 static gboolean
-on_leave (gpointer data)
+on_exit_timer (gpointer data)
 {
   (void) data;
   exit (0);
@@ -356,12 +359,12 @@
   Assign *a = data;
 
   cc_leader_resign (&a->leader);
-  g_timeout_add (300, on_leave, a);
+  g_timeout_add (300, on_exit_timer, a);
   return G_SOURCE_REMOVE;
 }
 
 static const char *
-why_not_ready (gpointer data)
+readiness_error (gpointer data)
 {
   Assign *a = data;
   gint64 now = cc_clock_now ();
@@ -383,7 +386,7 @@
                                cc_setting_advertised (settings), incarnation,
                                on_message, on_link, a, &message);
   if (a->mailbox != NULL)
-    admin = cc_admin_listen (cc_setting (settings, "admin"), why_not_ready, a,
+    admin = cc_admin_listen (cc_setting (settings, "admin"), readiness_error, a,
                              &message);
   if (admin == NULL)
     {
@@ -409,27 +412,29 @@
     { CC_SETTING_STRING, "instance", NULL, "name of this instance", 0, 0,
       NULL },
     { CC_SETTING_STRING, "zone", NULL, "its availability zone", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox for other processes", 0, 0,
-      NULL },
+    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox address for other processes",
+      0, 0, NULL },
     { CC_SETTING_ADDRESSES, "advertise", "",
-      "address by which others reach the mailbox, if another", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "admin", NULL, "operators, metrics, readiness", 0, 0,
-      NULL },
-    { CC_SETTING_ADDRESS, "platform", NULL, "the platform's service", 0, 0,
-      NULL },
+      "mailbox address as other processes reach it, if different", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "admin", NULL,
+      "address for operators, metrics and readiness", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "platform", NULL, "address of the platform's service",
+      0, 0, NULL },
     { CC_SETTING_ADDRESSES, "peers", "",
-      "mailboxes of dispatchers to start from", 0, 0, NULL },
+      "mailboxes of the dispatchers to contact first", 0, 0, NULL },
     { CC_SETTING_STRING, "operator-token", "",
-      "orders must carry it (better by environment)", 0, 0, NULL },
+      "token that operators' requests must carry (preferably set in the "
+      "environment)",
+      0, 0, NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   Assign a = { 0 };
   guint64 incarnation = cc_clock_incarnation ();
   g_autofree char *id = NULL;
 
-  switch (cc_settings_read (settings, "capercrank-assign",
-                            "Decides ownership; takes operators' documents.",
-                            argc, argv))
+  switch (cc_settings_read (
+      settings, "capercrank-assign",
+      "Assigns ownership and accepts operators' documents.", argc, argv))
     {
     case CC_START_STOP:
       return 0;
@@ -444,7 +449,7 @@
   a.reports = g_hash_table_new (g_str_hash, g_str_equal);
   a.planners = g_hash_table_new (g_str_hash, g_str_equal);
   a.writing = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  a.listed = g_ptr_array_new ();
+  a.listed_servers = g_ptr_array_new ();
   a.steps = cc_metrics_counter ("capercrank_assignment_steps", "");
   if (!open_ports (&a, settings, incarnation))
     return 1;
--- a/assignment.c
+++ b/assignment.c
@@ -1,22 +1,25 @@
-/* One step of assignment for one pool: what is known goes in, the next map
- * comes out.  No network, no clock.
+/* Assignment planner: one step computes the next slice map of a pool from the
+ * current map, the roster and the reports of dispatchers.  No network access
+ * and no clock; time is passed in.
  *
- * Safety stands in ownership_moves.c; which unit goes where, in balance.c;
- * here stands when anything moves at all.
+ * ownership_moves.c keeps moves safe and balance.c chooses the destination of
+ * each unit.  This file decides when units move:
  *
- *  - A unit without a server that may own it moves now.  From a leaving server
- *    units move a part at a time, so that the next ones are not flooded.  While
- *    writes are slow, units on their way to one are sent elsewhere.
- *  - A server that joins is filled up to its share as it warms up
+ *  - A unit whose server may not own it moves at once.  A leaving server's
+ *    units move in batches, so that their new servers are not overloaded.
+ *    While table writes are slow, units already moving to a server that starts
+ *    to leave are redirected.
+ *  - A joining server is filled in steps up to its full share
  *    (server_shares.c).
- *  - Otherwise load is evened out only when the imbalance has stood above a
- *    trigger for a time, then down to a goal below the trigger, and within a
- *    budget of moves.  Without the gap between the two, and without the time,
- *    noise in the measured loads moves keys for ever; without the budget a
- *    load that jumps about does.  A unit that moved rests for a while.
+ *  - Otherwise units move only after the imbalance has exceeded a trigger for
+ *    a minimum time, until it falls below a lower goal, within a budget of
+ *    moves.  Without that hysteresis and minimum time, noise in the measured
+ *    loads would cause endless moves; without the budget, rapidly changing
+ *    load would.  A unit that has moved is not moved again for a cooldown.
  *
- * The operator's `prefer` sets these figures.  The budget of churn follows
- * Slicer (OSDI 2016), the paced emptying of a server Shard Manager (SOSP 2021).
+ * The pool's `prefer` setting selects these values.  The move budget follows
+ * Slicer (OSDI 2016), the paced draining of a server Shard Manager (SOSP
+ * 2021).
  */
 #include "assignment.h"
 
@@ -28,20 +31,21 @@
 
 typedef struct
 {
-  double trigger;  /* imbalance that is worth moves */
-  double goal;     /* imbalance down to which units then move */
-  gint64 patience; /* for which it has to stand above the trigger, us */
-  gint64 rest;     /* of a unit after a move, us */
-  double burst;    /* share of the units that may move one after another */
-  double hourly;   /* share of the units that the budget regains in an hour */
+  double trigger;      /* imbalance above which units move */
+  double goal;         /* imbalance at which they stop */
+  gint64 min_duration; /* above the trigger before units move, us */
+  gint64 cooldown;     /* before a unit may move again, us */
+  double burst;        /* largest budget, as a fraction of the units */
+  double hourly; /* budget regained per hour, as a fraction of the units */
   CcHotPolicy hot;
 } Policy;
 
-/* A server's measured load wanders by 3% (CC_METER_TIME at 30 requests a
- * second), the largest of 18 by 6%: triggers stand well above, and below the
- * 1.25 that the users aim at.  Rests are long against the time a moved unit
- * takes to be measured anew (CC_METER_TIME).  A hot key is split out before
- * patience for evening out ends, or its neighbours would use up the budget. */
+/* The measured load of a server varies by 3% (CC_METER_TIME at 30 requests a
+ * second), and the largest of 18 by 6%: triggers are well above that and below
+ * 1.25, the imbalance that users aim for.  Cooldowns are long compared
+ * with CC_METER_TIME, the time to measure a moved unit again.  A hot key is
+ * split out before rebalancing starts, since moving its neighbours instead
+ * would use up the budget. */
 static const Policy policies[] = {
   [CC_PREFER_AVAILABILITY] = { 1.15,
                                1.05,
@@ -59,18 +63,19 @@
                             { 1.20, 5 * CC_SECOND, 900 * CC_SECOND } },
 };
 
-/* Units that move at one time: at least, and as a part of all. */
-#define MOVING_LEAST 8
-#define MOVING_PART 32
-/* A leaving server is emptied at the rate that takes so long, also when each
- * move takes long, since its process ends whatever it still owns. */
-#define EMPTIED_WITHIN CC_SECOND
-#define MOVES_SMOOTHED 8 /* weight of a move's time is 1 in so many */
+/* Units that may move concurrently: 1/MOVING_DIVISOR of all, at least
+ * MIN_MOVING. */
+#define MIN_MOVING 8
+#define MOVING_DIVISOR 32
+/* A leaving server is drained within this time even if each move is slow: its
+ * process exits regardless of what it still owns. */
+#define DRAIN_TIME CC_SECOND
+#define MOVE_TIME_SMOOTHING 8 /* the newest move counts 1/8 */
 
-#define MOVE_SLOW (500 * CC_MS) /* worth a line in the log */
+#define SLOW_MOVE (500 * CC_MS) /* logged as a warning */
 #define HOUR (3600 * CC_SECOND)
 
-/* A planner that knows nothing yet. */
+/* Returns a planner without any history. */
 CcPlanner *
 cc_planner_new (void)
 {
@@ -78,8 +83,8 @@
 
   p->loads = cc_unit_loads_new ();
   p->hot = cc_hot_units_new ();
-  p->standings = cc_server_shares_new ();
-  p->stamps = cc_move_versions_new ();
+  p->shares = cc_server_shares_new ();
+  p->move_versions = cc_move_versions_new ();
   p->moved_at = g_array_new (FALSE, TRUE, sizeof (gint64));
   p->began = g_array_new (FALSE, TRUE, sizeof (gint64));
   return p;
@@ -91,18 +96,18 @@
 {
   cc_unit_loads_free (p->loads);
   cc_hot_units_free (p->hot);
-  cc_server_shares_free (p->standings);
-  cc_move_versions_free (p->stamps);
+  cc_server_shares_free (p->shares);
+  cc_move_versions_free (p->move_versions);
   g_array_unref (p->moved_at);
   g_array_unref (p->began);
   g_free (p);
 }
 
-/* The table's answers, and so the writes of maps, take USUAL us at present. */
+/* Sets the typical time of a table write to TYPICAL us. */
 void
-cc_planner_set_write_time (CcPlanner *p, gint64 usual)
+cc_planner_set_write_time (CcPlanner *p, gint64 typical)
 {
-  p->write_usual = usual;
+  p->typical_write = typical;
 }
 
 static gint64 *
@@ -114,18 +119,19 @@
 }
 
 static void
-note_move (CcPlanner *p, gint64 span)
+record_move (CcPlanner *p, gint64 span)
 {
   p->move_time += span;
   p->ended++;
-  p->move_usual = p->move_usual == 0
-                      ? span
-                      : p->move_usual + (span - p->move_usual) / MOVES_SMOOTHED;
+  p->typical_move =
+      p->typical_move == 0
+          ? span
+          : p->typical_move + (span - p->typical_move) / MOVE_TIME_SMOOTHING;
 }
 
-/* Measures how long units are without an owner, which is what a move costs. */
+/* Measures how long moving units have been without an owner. */
 static void
-time_moves (CcPlanner *p, const CcSliceMap *m, gint64 now)
+measure_moves (CcPlanner *p, const CcSliceMap *m, gint64 now)
 {
   gint64 longest = 0;
   guint slow = 0;
@@ -139,9 +145,9 @@
         *began = now;
       if (moves || *began == 0)
         continue;
-      slow += now - *began > MOVE_SLOW;
+      slow += now - *began > SLOW_MOVE;
       longest = MAX (longest, now - *began);
-      note_move (p, now - *began);
+      record_move (p, now - *began);
       *began = 0;
     }
   if (slow > 0)
@@ -160,11 +166,11 @@
   return FALSE;
 }
 
-/* The servers that a pool starts with have nobody to be compared with: they
- * count as warm.  Filled up like joining ones, each to its exact share at every
- * step, they pass units round and round after the noise in their loads. */
+/* The first servers of a pool count as warm.  If they were filled like joining
+ * servers, each to its exact share at every step, noise in the loads would
+ * keep units moving between them. */
 static void
-note_standings (CcPlanner *p, const CcSliceMap *m, gint64 now)
+update_shares (CcPlanner *p, const CcSliceMap *m, gint64 now)
 {
   gboolean starts = !is_owned (m);
 
@@ -172,7 +178,7 @@
     {
       const CcMapServer *s = cc_slicemap_server (m, i);
 
-      cc_server_shares_update (p->standings, s->name, s->state,
+      cc_server_shares_update (p->shares, s->name, s->state,
                                starts || cc_slicemap_owned (m, i) > 0, now);
     }
 }
@@ -187,9 +193,9 @@
   return total;
 }
 
-/* A pool without load has nothing to warm up for: shares are full.  Neither
- * may standing leave keys without any owner: if no server has a share, all
- * that are live do. */
+/* In a pool without load servers need no warm-up and get their full shares.  If
+ * no server has a share, all live servers get a full one, so that every key
+ * has an owner. */
 static void
 add_servers (CcBalance *b, CcPlanner *p, const CcSliceMap *m, gboolean idle,
              gint64 now)
@@ -199,11 +205,11 @@
   for (guint i = 0; i < m->servers->len; i++)
     any |= cc_moves_can_own (m, (gint32) i) &&
            cc_server_shares_of (
-               p->standings, cc_slicemap_server (m, (gint32) i)->name, now) > 0;
+               p->shares, cc_slicemap_server (m, (gint32) i)->name, now) > 0;
   for (guint i = 0; i < m->servers->len; i++)
     {
       const CcMapServer *s = cc_slicemap_server (m, (gint32) i);
-      double share = cc_server_shares_of (p->standings, s->name, now);
+      double share = cc_server_shares_of (p->shares, s->name, now);
 
       if (!any || (idle && share > 0))
         share = 1;
@@ -220,14 +226,14 @@
                             server->state == CC_SERVER_LEAVING);
 }
 
-/* Which units of M, as it was read, are on their way, alone or with their
- * server: they may not begin another move in the step that ends this one.  The
- * next holder has to see itself as the owner in a map that was written, or it
- * does not pass the memory of outcomes on. */
+/* Returns a flag for each unit of M, as read: whether it is moving, alone or
+ * with its server.  Such a unit may not start another move in the step that
+ * ends this one: its next dispatcher passes its outcomes on only after it has
+ * been the owner in a map that was written. */
 static GByteArray *
-units_on_their_way (const CcSliceMap *m)
+units_in_move (const CcSliceMap *m)
 {
-  GByteArray *on_way = g_byte_array_new ();
+  GByteArray *in_move = g_byte_array_new ();
 
   for (guint i = 0; i < cc_slicemap_units (m); i++)
     {
@@ -235,31 +241,31 @@
       const CcMapServer *owner = cc_slicemap_server (m, s->server);
       guint8 moves = s->from >= 0 || (owner != NULL && owner->from[0] != '\0');
 
-      g_byte_array_append (on_way, &moves, 1);
+      g_byte_array_append (in_move, &moves, 1);
     }
-  return on_way;
+  return in_move;
 }
 
 static void
-note_doubt (CcBalance *b, const CcSliceMap *m, GHashTable *reports)
+mark_unconfirmed (CcBalance *b, const CcSliceMap *m, GHashTable *reports)
 {
   for (guint i = 0; i < m->servers->len; i++)
-    g_array_index (b->servers, CcBalanceServer, i).in_doubt =
+    g_array_index (b->servers, CcBalanceServer, i).unconfirmed =
         cc_moves_is_unconfirmed (m, (gint32) i, reports);
 }
 
-/* Whether a move takes longer than a leaving server may be emptied in.  Only
- * then is a unit sent elsewhere on its way: it is without an owner until one
- * more map is applied, but need not move a second time. */
+/* Whether a move takes longer than DRAIN_TIME. Only then are moving units
+ * redirected: a redirected unit stays without an owner until one more map is
+ * applied, but needs no second move. */
 static gboolean
 writes_are_slow (const CcPlanner *p)
 {
-  return 2 * p->write_usual > EMPTIED_WITHIN;
+  return 2 * p->typical_write > DRAIN_TIME;
 }
 
 static void
 add_units (CcBalance *b, CcPlanner *p, const CcSliceMap *m,
-           const GByteArray *on_way, const Policy *y, gint64 now)
+           const GByteArray *in_move, const Policy *y, gint64 now)
 {
   for (guint i = 0; i < cc_slicemap_units (m); i++)
     {
@@ -271,9 +277,9 @@
       CcBalanceUnit u = {
         .load = cc_unit_loads_of (p->loads, i),
         .server = s->server,
-        .fixed = !redirect && (s->from >= 0 || !is_unit || on_way->data[i] ||
+        .fixed = !redirect && (s->from >= 0 || !is_unit || in_move->data[i] ||
                                cc_balance_is_unconfirmed (b, s->server)),
-        .rests = moved > 0 && now - moved < y->rest,
+        .on_cooldown = moved > 0 && now - moved < y->cooldown,
         .urgent = redirect || (is_unit && !is_served (m, s))
       };
 
@@ -289,10 +295,10 @@
 
   for (gint32 i = 0; i < (gint32) m->servers->len; i++)
     if (cc_moves_can_own (m, i) &&
-        cc_server_shares_of (p->standings, cc_slicemap_server (m, i)->name,
-                             now) > 0 &&
-        cc_server_shares_is_warming (p->standings,
-                                     cc_slicemap_server (m, i)->name, now))
+        cc_server_shares_of (p->shares, cc_slicemap_server (m, i)->name, now) >
+            0 &&
+        cc_server_shares_is_warming (p->shares, cc_slicemap_server (m, i)->name,
+                                     now))
       n += cc_balance_fill (b, i, limit - n);
   return n;
 }
@@ -311,23 +317,23 @@
 }
 
 static gboolean
-is_worth_moves (CcPlanner *p, const Policy *y, gint64 now)
+needs_rebalance (CcPlanner *p, const Policy *y, gint64 now)
 {
   if (p->imbalance <= y->trigger)
     {
-      p->over_since = 0;
+      p->above_trigger_since = 0;
       return FALSE;
     }
-  if (p->over_since == 0)
-    p->over_since = now;
-  return now - p->over_since >= y->patience;
+  if (p->above_trigger_since == 0)
+    p->above_trigger_since = now;
+  return now - p->above_trigger_since >= y->min_duration;
 }
 
 static void
-even_out (CcBalance *b, CcPlanner *p, const Policy *y, guint limit, gint64 now)
+rebalance (CcBalance *b, CcPlanner *p, const Policy *y, guint limit, gint64 now)
 {
   renew_budget (p, y, b->units->len, now);
-  if (!is_worth_moves (p, y, now))
+  if (!needs_rebalance (p, y, now))
     return;
   limit = MIN (limit, (guint) p->budget);
   p->budget -= cc_balance_rebalance (b, y->goal, limit);
@@ -351,7 +357,7 @@
   return b->moves->len;
 }
 
-/* One key at a time is split or folded: each pauses a slice. */
+/* Splits or folds one key per step, since each pauses a slice. */
 static guint
 plan_hot (CcPlanner *p, CcSliceMap *m, const CcBalance *b, const Policy *y,
           gint64 now)
@@ -370,65 +376,65 @@
   return 1;
 }
 
-/* How long a move that begins now will take, us; 0: not known.  A move is two
- * writes, one after the other, and past moves tell nothing of a table that has
- * become slow since. */
+/* Expected duration of a move that starts now, us; 0: unknown.  A move takes
+ * two consecutive writes; past moves don't show that the table has become slow
+ * since. */
 static gint64
 move_expected (const CcPlanner *p)
 {
-  return MAX (p->move_usual, 2 * p->write_usual);
+  return MAX (p->typical_move, 2 * p->typical_write);
 }
 
-/* How many of the homeless units are to move now, so that the last one has
- * moved EMPTIED_WITHIN after the first if moves take as long as expected. */
+/* How many of the UNASSIGNED units have to move now so that the last one moves
+ * within DRAIN_TIME of the first at the expected duration of a move. */
 static guint
-homeless_due (CcPlanner *p, guint homeless, gint64 now)
+unassigned_due (CcPlanner *p, guint unassigned, gint64 now)
 {
   gint64 expected = move_expected (p);
   gint64 left;
 
-  if (homeless == 0)
-    p->homeless_since = 0;
-  else if (p->homeless_since == 0)
-    p->homeless_since = now;
-  if (homeless == 0 || expected == 0)
+  if (unassigned == 0)
+    p->unassigned_since = 0;
+  else if (p->unassigned_since == 0)
+    p->unassigned_since = now;
+  if (unassigned == 0 || expected == 0)
     return 0;
-  left = p->homeless_since + EMPTIED_WITHIN - now;
+  left = p->unassigned_since + DRAIN_TIME - now;
   if (left <= expected)
-    return homeless;
-  return (guint) ((gint64) homeless * expected / left);
+    return unassigned;
+  return (guint) ((gint64) unassigned * expected / left);
 }
 
-/* Moves units away from servers that may not own them, a part at a time.
- * Returns how many. */
+/* Moves a batch of units away from servers that may not own them.  Returns
+ * their number. */
 static guint
-place_homeless (CcBalance *b, CcPlanner *p, guint most, guint moving,
-                gint64 now)
+place_unassigned (CcBalance *b, CcPlanner *p, guint most, guint moving,
+                  gint64 now)
 {
-  guint due = homeless_due (p, cc_balance_unassigned (b), now);
+  guint due = unassigned_due (p, cc_balance_unassigned (b), now);
 
   return cc_balance_place (b, MAX (due, most - MIN (moving, most)));
 }
 
 static void
-even_loads (CcBalance *b, CcPlanner *p, const CcSliceMap *m, const Policy *y,
-            guint limit, gint64 now)
+balance_loads (CcBalance *b, CcPlanner *p, const CcSliceMap *m, const Policy *y,
+               guint limit, gint64 now)
 {
   limit -= MIN (limit, fill_joining (b, p, m, limit, now));
-  even_out (b, p, y, limit, now);
+  rebalance (b, p, y, limit, now);
 }
 
-/* Chooses what moves.  Units without a home go first: a hot key is split only
- * in a CALM map, in which no unit was on its way when it was read, or each
- * split would hold up a server that leaves.  Returns how many changes were made
- * to M itself. */
+/* Chooses the moves of this step.  Unassigned units come first.  A hot key is
+ * split only if SETTLED, that is if no unit was moving in the map as read;
+ * otherwise each split would delay the draining of a leaving server.  Returns
+ * the number of changes made to M directly. */
 static guint
-choose_moves (CcBalance *b, CcPlanner *p, CcSliceMap *m, gboolean calm,
+choose_moves (CcBalance *b, CcPlanner *p, CcSliceMap *m, gboolean settled,
               const Policy *y, gboolean idle, gint64 now)
 {
-  guint most = MAX (MOVING_LEAST, cc_slicemap_units (m) / MOVING_PART);
+  guint most = MAX (MIN_MOVING, cc_slicemap_units (m) / MOVING_DIVISOR);
   guint moving = cc_slicemap_moving (m);
-  guint placed = place_homeless (b, p, most, moving, now);
+  guint placed = place_unassigned (b, p, most, moving, now);
   guint limit = most - MIN (most, moving + placed);
 
   if (!cc_unit_loads_known (p->loads, now))
@@ -438,45 +444,45 @@
       cc_balance_rebalance (b, 1, limit);
       return 0;
     }
-  if (calm && placed == 0 && plan_hot (p, m, b, y, now) > 0)
+  if (settled && placed == 0 && plan_hot (p, m, b, y, now) > 0)
     return 1;
-  even_loads (b, p, m, y, limit, now);
+  balance_loads (b, p, m, y, limit, now);
   return 0;
 }
 
-/* Changes M, read at m->version, by one step at NOW.  REPORTS maps a server's
- * name to its CcServerReport.  Returns how many changes were made; with none
+/* Advances M, read at version m->version, by one step at NOW (us).  REPORTS
+ * maps server names to CcServerReport.  Returns the number of changes; if 0,
  * there is nothing to write. */
 guint
 cc_planner_step (CcPlanner *p, CcSliceMap *m, const CcPool *pool,
                  const CcRoster *roster, GHashTable *reports, gint64 now)
 {
   const Policy *y = &policies[pool->prefer];
-  g_autoptr (GByteArray) on_way = units_on_their_way (m);
-  gboolean calm = memchr (on_way->data, TRUE, on_way->len) == NULL;
+  g_autoptr (GByteArray) in_move = units_in_move (m);
+  gboolean settled = memchr (in_move->data, TRUE, in_move->len) == NULL;
   gboolean idle = total_load (p, m) <= 0;
   CcBalance *b = cc_balance_new ();
   guint changes;
 
-  cc_move_versions_update (p->stamps, m);
-  changes = cc_moves_update (m, roster, reports, p->stamps);
-  time_moves (p, m, now);
-  note_standings (p, m, now);
+  cc_move_versions_update (p->move_versions, m);
+  changes = cc_moves_update (m, roster, reports, p->move_versions);
+  measure_moves (p, m, now);
+  update_shares (p, m, now);
   add_servers (b, p, m, idle, now);
-  note_doubt (b, m, reports);
-  add_units (b, p, m, on_way, y, now);
+  mark_unconfirmed (b, m, reports);
+  add_units (b, p, m, in_move, y, now);
   cc_balance_prepare (b);
   p->imbalance = idle ? 0 : cc_balance_imbalance (b);
-  changes += choose_moves (b, p, m, calm, y, idle, now);
+  changes += choose_moves (b, p, m, settled, y, idle, now);
   changes += apply_moves (p, m, b, now);
-  time_moves (p, m, now);
+  measure_moves (p, m, now);
   cc_balance_free (b);
   cc_slicemap_compact (m);
   return changes;
 }
 
-/* A step that knows no loads and no past: counts of units are evened out.  POOL
- * may be NULL. */
+/* Runs one step without load reports or history: units are balanced by count.
+ * POOL may be NULL. */
 guint
 cc_assignment_step (CcSliceMap *m, const CcPool *pool, const CcRoster *roster,
                     GHashTable *reports)
--- a/balance.c
+++ b/balance.c
@@ -1,31 +1,31 @@
-/* Balance of measured load against churn, for one pool, without network or
- * clock.  When anything may move at all is asked elsewhere (assignment.c).
+/* Balances measured load against churn within one pool, without network or
+ * clock.  assignment.c decides when units may move at all.
  *
- * Load pattern: keys are as uneven as castles are popular, and the unevenness
- * moves.  Evened out by count, a server with two popular slices is full while
- * others idle; hashed anew modulo the servers, a join or leave moves nearly
+ * Load is unevenly distributed over keys, and the distribution shifts.
+ * Balanced by count, a server with two popular slices is full while others
+ * idle; rehashed modulo the number of servers, a join or leave moves nearly
  * every key.
  *
- * So units are weighed by the work they bring, and each step takes the one
- * move that helps most: from the server that is furthest above its target to
- * the one furthest below, the largest unit that fits.  Large first is what
- * keeps the number of moves small.  The weighted moves under a budget of churn
- * are Slicer's (OSDI 2016).  A unit that is heavier than a server's whole
- * target is never passed around: it stays, and its neighbours move away.
+ * Units are therefore weighted by the work they cause, and each step makes the
+ * most effective move: from the server furthest above its target to the one
+ * furthest below, the largest unit that fits.  Moving large units first keeps
+ * the number of moves small.  Weighted moves under a churn budget follow
+ * Slicer (OSDI 2016). A unit heavier than a server's whole target is never
+ * moved; its neighbours move away instead.
  */
 #include "balance.h"
 
-/* A unit without measured load counts as this part of the mean, so that cold
- * units spread too: nobody knows which of them is the next to be hot.  Small,
- * so that evening them out never outweighs measured load. */
-#define FLOOR_SHARE 0.05
+/* A unit without measured load counts as this fraction of the mean, so that
+ * cold units are spread too: any of them may become hot.  It is small enough
+ * that measured load always dominates. */
+#define MIN_LOAD_SHARE 0.05
 
-/* A server that gives units to a joining one may fall this far below its
- * target.  It has little more than its target, so without it only its lightest
- * units would fit, and more of them would have to move. */
+/* A server that gives units to a joining one may fall below its target by this
+ * fraction.  A typical server is barely above its target, so without slack
+ * only its lightest units would fit, and more of them would have to move. */
 #define FILL_SLACK 0.1
 
-/* An empty pool. */
+/* Returns an empty pool. */
 CcBalance *
 cc_balance_new (void)
 {
@@ -60,26 +60,26 @@
 }
 
 static gboolean
-is_fit (const CcBalance *b, gint32 server)
+is_eligible (const CcBalance *b, gint32 server)
 {
-  return server >= 0 && server_at (b, server)->fit &&
+  return server >= 0 && server_at (b, server)->eligible &&
          server_at (b, server)->share > 0;
 }
 
-/* Whether SERVER's dispatcher can't say yet that what it takes from it stops;
- * -1: there is no server. */
+/* Whether SERVER's dispatcher cannot yet confirm that units taken from it have
+ * stopped.  SERVER may be -1 for none. */
 gboolean
 cc_balance_is_unconfirmed (const CcBalance *b, gint32 server)
 {
   return server >= 0 &&
-         g_array_index (b->servers, CcBalanceServer, server).in_doubt;
+         g_array_index (b->servers, CcBalanceServer, server).unconfirmed;
 }
 
 /* Adds the server with the next index. */
 void
-cc_balance_add_server (CcBalance *b, gboolean fit, double share)
+cc_balance_add_server (CcBalance *b, gboolean eligible, double share)
 {
-  CcBalanceServer s = { .fit = fit, .share = fit ? share : 0 };
+  CcBalanceServer s = { .eligible = eligible, .share = eligible ? share : 0 };
 
   b->shares += s.share;
   g_array_append_val (b->servers, s);
@@ -92,7 +92,8 @@
   g_array_append_val (b->units, *unit);
 }
 
-/* To be called once all are added: weighs them. */
+/* Computes the weights.  Call it once after all servers and units are added.
+ */
 void
 cc_balance_prepare (CcBalance *b)
 {
@@ -100,13 +101,13 @@
 
   for (guint i = 0; i < b->units->len; i++)
     total += unit_at (b, i)->load;
-  least = total > 0 ? FLOOR_SHARE * total / b->units->len : 1;
+  least = total > 0 ? MIN_LOAD_SHARE * total / b->units->len : 1;
   for (guint i = 0; i < b->units->len; i++)
     {
       CcBalanceUnit *u = unit_at (b, i);
 
       if (u->server < 0 && u->fixed)
-        continue; /* a place for a hot key that none has */
+        continue; /* an unused place for a hot key */
       u->weight = u->load + least;
       b->total += u->weight;
       if (u->server >= 0)
@@ -114,7 +115,7 @@
     }
 }
 
-/* The weight that SERVER is to have: its share of all. */
+/* The weight that SERVER should carry: its share of the total. */
 double
 cc_balance_target (const CcBalance *b, gint32 server)
 {
@@ -123,21 +124,21 @@
   return b->total * server_at (b, server)->share / b->shares;
 }
 
-/* Peak over mean: the greatest load of a server, relative to its target; 1 is
- * even.  0 if no server is fit. */
+/* Peak over mean: the highest load of a server relative to its target; 1 is
+ * even, 0 if no server is eligible. */
 double
 cc_balance_imbalance (const CcBalance *b)
 {
   double worst = 0;
 
   for (gint32 i = 0; i < (gint32) b->servers->len; i++)
-    if (is_fit (b, i))
+    if (is_eligible (b, i))
       worst = MAX (worst, server_at (b, i)->held / cc_balance_target (b, i));
   return worst;
 }
 
-/* The server whose load, with WEIGHT more, is lowest for its share; -1 if none
- * is fit. */
+/* The server whose load per share, with WEIGHT added, is lowest; -1 if none is
+ * eligible. */
 gint32
 cc_balance_least_loaded (const CcBalance *b, double weight)
 {
@@ -147,9 +148,9 @@
   for (gint32 i = 0; i < (gint32) b->servers->len; i++)
     {
       const CcBalanceServer *s = server_at (b, i);
-      double load = is_fit (b, i) ? (s->held + weight) / s->share : 0;
+      double load = is_eligible (b, i) ? (s->held + weight) / s->share : 0;
 
-      if (!is_fit (b, i) || (best >= 0 && load >= best_load))
+      if (!is_eligible (b, i) || (best >= 0 && load >= best_load))
         continue;
       best = i;
       best_load = load;
@@ -158,7 +159,7 @@
 }
 
 static void
-move (CcBalance *b, guint unit, gint32 to)
+apply_move (CcBalance *b, guint unit, gint32 to)
 {
   CcBalanceUnit *u = unit_at (b, unit);
   CcBalanceMove m = { unit, to };
@@ -176,12 +177,12 @@
   guint unit;
   double weight;
   gboolean urgent;
-} Homeless;
+} Unassigned;
 
 static gint
-heavy_first (gconstpointer a, gconstpointer b)
+compare_unassigned (gconstpointer a, gconstpointer b)
 {
-  const Homeless *x = a, *y = b;
+  const Unassigned *x = a, *y = b;
 
   if (x->urgent != y->urgent)
     return x->urgent ? -1 : 1;
@@ -191,79 +192,82 @@
 }
 
 static gboolean
-is_homeless (const CcBalance *b, const CcBalanceUnit *u)
+is_unassigned (const CcBalance *b, const CcBalanceUnit *u)
 {
-  return !u->fixed && (u->urgent || !is_fit (b, u->server));
+  return !u->fixed && (u->urgent || !is_eligible (b, u->server));
 }
 
-/* How many units wait for another server, since theirs may not own them. */
+/* Counts the units that need another server since theirs may not own them. */
 guint
 cc_balance_unassigned (const CcBalance *b)
 {
   guint n = 0;
 
   for (guint i = 0; i < b->units->len; i++)
-    n += is_homeless (b, &g_array_index (b->units, CcBalanceUnit, i));
+    n += is_unassigned (b, &g_array_index (b->units, CcBalanceUnit, i));
   return n;
 }
 
-/* Gives units whose server may not own them to the least loaded ones, heavy
- * ones first.  Urgent ones all at once, nobody serves them; of the others LIMIT
- * at most, since their server works on until they have left, and the next
- * ones would otherwise be flooded by keys that they have to load.  Returns how
- * many moves were chosen. */
+/* Moves units whose server may not own them to the least loaded servers,
+ * heaviest first.  All urgent units move at once, since no server serves them;
+ * at most LIMIT of the others, whose server still serves them, so that the new
+ * servers are not overloaded by keys that they have to load.  Returns the
+ * number of moves. */
 guint
 cc_balance_place (CcBalance *b, guint limit)
 {
-  g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (Homeless));
+  g_autoptr (GArray) unassigned =
+      g_array_new (FALSE, FALSE, sizeof (Unassigned));
   guint before = b->moves->len;
 
   for (guint i = 0; i < b->units->len; i++)
     {
       const CcBalanceUnit *u = unit_at (b, i);
-      Homeless h = { i, u->weight, u->urgent };
+      Unassigned h = { i, u->weight, u->urgent };
 
-      if (is_homeless (b, u))
-        g_array_append_val (all, h);
+      if (is_unassigned (b, u))
+        g_array_append_val (unassigned, h);
     }
-  g_array_sort (all, heavy_first);
-  for (guint i = 0; i < all->len; i++)
+  g_array_sort (unassigned, compare_unassigned);
+  for (guint i = 0; i < unassigned->len; i++)
     {
-      const Homeless *h = &g_array_index (all, Homeless, i);
+      const Unassigned *h = &g_array_index (unassigned, Unassigned, i);
       gint32 to = cc_balance_least_loaded (b, h->weight);
 
       if (to < 0 || (!h->urgent && limit == 0))
         break;
       limit -= h->urgent ? 0 : 1;
-      move (b, h->unit, to);
+      apply_move (b, h->unit, to);
     }
   return b->moves->len - before;
 }
 
-/* How much FROM is above its target, and TO below. */
+/* How far FROM is above its target and TO below its own. */
 typedef struct
 {
   double above;
   double below;
-  double slack;     /* by how much FROM may fall below its target */
-  gboolean resting; /* whether units that rest may move too */
-} Gap;
+  double slack;             /* how far FROM may fall below its target */
+  gboolean ignore_cooldown; /* units on cooldown may move too */
+} LoadGap;
 
-static Gap
+static LoadGap
 gap_between (const CcBalance *b, gint32 from, gint32 to)
 {
-  Gap g = { .above = server_at (b, from)->held - cc_balance_target (b, from),
-            .below = cc_balance_target (b, to) - server_at (b, to)->held };
+  LoadGap g = { .above =
+                    server_at (b, from)->held - cc_balance_target (b, from),
+                .below = cc_balance_target (b, to) - server_at (b, to)->held };
 
   return g;
 }
 
-/* The unit to move over gap G: the heaviest that fits into both sides, else
- * the lightest that still lowers the higher side.  Returns -1 if none does. */
+/* Chooses the unit to move across gap G: the heaviest that fits both sides,
+ * else the lightest that still lowers the higher side.  Returns -1 if there is
+ * none. */
 static gint64
-choose_unit (const CcBalance *b, gint32 from, Gap g)
+choose_unit (const CcBalance *b, gint32 from, LoadGap g)
 {
-  double room = MIN (g.above + g.slack, g.below);
+  double max_weight = MIN (g.above + g.slack, g.below);
   double best_fit = 0, best_over = g.above + g.below;
   gint64 fit = -1, over = -1;
 
@@ -271,14 +275,15 @@
     {
       const CcBalanceUnit *u = unit_at (b, i);
 
-      if (u->server != from || u->fixed || (u->rests && !g.resting))
+      if (u->server != from || u->fixed ||
+          (u->on_cooldown && !g.ignore_cooldown))
         continue;
-      if (u->weight <= room && u->weight > best_fit)
+      if (u->weight <= max_weight && u->weight > best_fit)
         {
           best_fit = u->weight;
           fit = i;
         }
-      else if (u->weight > room && u->weight < best_over * (1 - 1e-9))
+      else if (u->weight > max_weight && u->weight < best_over * (1 - 1e-9))
         {
           best_over = u->weight;
           over = i;
@@ -288,20 +293,20 @@
 }
 
 static gboolean
-move_over (CcBalance *b, gint32 from, gint32 to, Gap g)
+move_between (CcBalance *b, gint32 from, gint32 to, LoadGap g)
 {
   gint64 unit = from != to ? choose_unit (b, from, g) : -1;
 
   if (unit < 0)
     return FALSE;
-  move (b, (guint) unit, to);
+  apply_move (b, (guint) unit, to);
   return TRUE;
 }
 
-/* The server furthest above its target that is not in SKIP and above GOAL
- * times the target; -1 if there is none. */
+/* The server not in SKIP that is furthest above GOAL times its target; -1 if
+ * there is none. */
 static gint32
-furthest_above (const CcBalance *b, double goal, const gboolean *skip)
+most_overloaded (const CcBalance *b, double goal, const gboolean *skip)
 {
   gint32 best = -1;
   double worst = goal;
@@ -310,7 +315,7 @@
     {
       double load;
 
-      if (!is_fit (b, i) || skip[i])
+      if (!is_eligible (b, i) || skip[i])
         continue;
       load = server_at (b, i)->held / cc_balance_target (b, i);
       if (load <= worst)
@@ -321,32 +326,31 @@
   return best;
 }
 
-/* Moves units to SERVER until it lacks less than half a mean unit of its
- * target, LIMIT at most; each from the server that is furthest above its own.
- * What it lacks then goes into its next step of warming up; topped up at each
- * one by light units, it would take more moves in all.  Returns how many were
- * chosen. */
+/* Moves at most LIMIT units to SERVER until it is within half a mean unit of
+ * its target, each from the server furthest above its own.  The rest is left
+ * to the next warm-up step: topping up with light units at each step would
+ * take more moves in total.  Returns the number of moves. */
 guint
 cc_balance_fill (CcBalance *b, gint32 server, guint limit)
 {
   g_autofree gboolean *skip = g_new0 (gboolean, b->servers->len + 1);
-  double enough = b->total / MAX (b->units->len, 1) / 2;
+  double min_gap = b->total / MAX (b->units->len, 1) / 2;
   guint n = 0;
 
   skip[server] = TRUE;
   while (n < limit)
     {
-      gint32 from = furthest_above (b, 1, skip);
-      Gap g;
+      gint32 from = most_overloaded (b, 1, skip);
+      LoadGap g;
 
       if (from < 0)
         break;
       g = gap_between (b, from, server);
       g.slack = FILL_SLACK * cc_balance_target (b, from);
-      g.resting = TRUE;
-      if (g.below < enough)
+      g.ignore_cooldown = TRUE;
+      if (g.below < min_gap)
         break;
-      if (move_over (b, from, server, g))
+      if (move_between (b, from, server, g))
         n++;
       else
         skip[from] = TRUE;
@@ -354,8 +358,8 @@
   return n;
 }
 
-/* Moves units, LIMIT at most, until no server that can be relieved has more
- * than GOAL times its target.  Returns how many were chosen. */
+/* Moves at most LIMIT units, until no server that can give units away carries
+ * more than GOAL times its target.  Returns the number of moves. */
 guint
 cc_balance_rebalance (CcBalance *b, double goal, guint limit)
 {
@@ -364,12 +368,12 @@
 
   while (n < limit)
     {
-      gint32 from = furthest_above (b, goal, skip);
+      gint32 from = most_overloaded (b, goal, skip);
       gint32 to = cc_balance_least_loaded (b, 0);
 
       if (from < 0)
         break;
-      if (move_over (b, from, to, gap_between (b, from, to)))
+      if (move_between (b, from, to, gap_between (b, from, to)))
         n++;
       else
         skip[from] = TRUE;
--- a/balance.h
+++ b/balance.h
@@ -1,4 +1,4 @@
-/* Which units are to move to which server, so that load is even. */
+/* Chooses moves of units between servers that even out their load. */
 #ifndef CC_BALANCE_H
 #define CC_BALANCE_H
 
@@ -6,20 +6,21 @@
 
 typedef struct
 {
-  gboolean fit;      /* may own units */
-  gboolean in_doubt; /* what it gives up would have no owner for long */
-  double share;      /* of a warm server's load that it is to have, 0 to 1 */
-  double held;       /* weight of its units; kept by this module */
+  gboolean eligible;    /* may own units */
+  gboolean unconfirmed; /* its dispatcher can't confirm that units taken from it
+                           have stopped */
+  double share;         /* of a warm server's load, 0 to 1 */
+  double held;          /* weight of its units; computed by this module */
 } CcBalanceServer;
 
 typedef struct
 {
-  double load;     /* work it brings, in slots kept busy; 0: none measured */
-  double weight;   /* load and a floor; kept by this module */
-  gint32 server;   /* index of its server, or of the coming one; -1: none */
-  gboolean fixed;  /* it moves at the moment */
-  gboolean rests;  /* it moved lately: not to be moved to even out */
-  gboolean urgent; /* its server does not serve it: move it now */
+  double load;          /* measured load, slots kept busy; 0: none */
+  double weight;        /* load plus a minimum; computed by this module */
+  gint32 server;        /* index of its owner or coming owner; -1: none */
+  gboolean fixed;       /* may not move in this step */
+  gboolean on_cooldown; /* moved recently: not to be moved by rebalancing */
+  gboolean urgent;      /* its server does not serve it: move it at once */
 } CcBalanceUnit;
 
 typedef struct
@@ -28,20 +29,20 @@
   gint32 to;
 } CcBalanceMove;
 
-/* One pool at one moment.  Moves that are chosen count as done. */
+/* Snapshot of a pool.  Chosen moves are applied to it at once. */
 typedef struct
 {
   GArray *servers; /* of CcBalanceServer */
   GArray *units;   /* of CcBalanceUnit */
   GArray *moves;   /* of CcBalanceMove, in the order chosen */
-  double total;    /* weight of all units */
-  double shares;   /* sum over the servers */
+  double total;    /* of all units */
+  double shares;   /* sum over all servers */
 } CcBalance;
 
 CcBalance *cc_balance_new (void);
 void cc_balance_free (CcBalance *b);
 gboolean cc_balance_is_unconfirmed (const CcBalance *b, gint32 server);
-void cc_balance_add_server (CcBalance *b, gboolean fit, double share);
+void cc_balance_add_server (CcBalance *b, gboolean eligible, double share);
 void cc_balance_add_unit (CcBalance *b, const CcBalanceUnit *unit);
 void cc_balance_prepare (CcBalance *b);
 double cc_balance_target (const CcBalance *b, gint32 server);
--- a/hot_units.c
+++ b/hot_units.c
@@ -1,14 +1,16 @@
-/* Load pattern: one key alone brings a good part of what a server can do, for
- * hours, then another one does.  Left in its slice it can only be relieved by
- * moving the other slices away, and two hot keys of one slice never part.
- * Splitting every warm key, on the other hand, pauses its slice each time and
- * fills the map.
+/* Splits and folds hot keys, without network or clock.
  *
- * So a key is split out if dispatchers report it as hot for a time, and only
- * from a server that is above its target.  It stays where it is if that helps
- * enough, else it goes to the least loaded server, and it is folded back when
- * it has been cool for long.  Isolation of hot keys: Slicer (OSDI 2016).
- * Without network or clock.
+ * For hours, one key alone may cause a large part of the load that a server
+ * can carry; then another one does.  Left in its slice, it can be relieved
+ * only by moving other slices away, and two hot keys of one slice stay
+ * together.  But splitting every warm key would pause its slice each time and
+ * fill the map.
+ *
+ * So a key is split out once dispatchers have reported it as hot for some
+ * time, and only if its server is above its target.  It stays on its server if
+ * that relieves it enough, else it moves to the least loaded one, and it is
+ * folded back after it has been cool for some time.  Isolating hot keys
+ * follows Slicer (OSDI 2016).
  */
 #include "hot_units.h"
 
@@ -16,29 +18,30 @@
 
 #include "ownership_moves.h"
 
-/* A key is hot with this part of a server's target: three of its 14 slices. */
-#define HOT_PART 0.2
-/* ... and cool below this one: a quarter, so that it isn't both in turn. */
-#define COOL_PART 0.05
+/* A key is hot from this fraction of a server's mean target on: about the load
+ * of 3 of its 14 slices. */
+#define HOT_SHARE 0.2
+/* It is cool below this fraction: a quarter, as hysteresis. */
+#define COOL_SHARE 0.05
 
-#define CANDIDATES_MAX 512                /* keys reported and not yet split */
-#define CANDIDATE_EXPIRES (2 * CC_SECOND) /* ten reports without it */
+#define MAX_CANDIDATES 512            /* reported keys that are not split yet */
+#define CANDIDATE_TTL (2 * CC_SECOND) /* ten missed reports */
 
 typedef struct
 {
   guint64 hash;
-  double load;  /* slots kept busy */
-  gint64 since; /* reported without a gap since then, us */
-  gint64 seen;  /* latest report, us */
+  double load;     /* slots kept busy */
+  gint64 since;    /* start of uninterrupted reports, us */
+  gint64 reported; /* latest report, us */
 } Candidate;
 
 struct CcHotUnits
 {
   GArray *candidates;            /* of Candidate */
-  gint64 cool_since[CC_HOT_MAX]; /* by place in the map, us; 0: it is not */
+  gint64 cool_since[CC_HOT_MAX]; /* by place in the map, us; 0: not cool */
 };
 
-/* No key is known as hot. */
+/* Returns a table without any hot keys. */
 CcHotUnits *
 cc_hot_units_new (void)
 {
@@ -57,7 +60,7 @@
 }
 
 static Candidate *
-candidate (CcHotUnits *h, guint64 hash)
+find_candidate (CcHotUnits *h, guint64 hash)
 {
   for (guint i = 0; i < h->candidates->len; i++)
     if (g_array_index (h->candidates, Candidate, i).hash == hash)
@@ -69,38 +72,38 @@
 drop_expired (CcHotUnits *h, gint64 now)
 {
   for (guint i = h->candidates->len; i > 0; i--)
-    if (now - g_array_index (h->candidates, Candidate, i - 1).seen >
-        CANDIDATE_EXPIRES)
+    if (now - g_array_index (h->candidates, Candidate, i - 1).reported >
+        CANDIDATE_TTL)
       g_array_remove_index_fast (h->candidates, i - 1);
 }
 
-/* Takes in HOT, a(tud) of hash, unit and load, reported at NOW. */
+/* Records the report HOT, a(tud) of hash, unit and load, received at NOW. */
 void
 cc_hot_units_update (CcHotUnits *h, GVariant *hot, gint64 now)
 {
   GVariantIter iter;
-  Candidate c = { .since = now, .seen = now };
+  Candidate c = { .since = now, .reported = now };
   guint32 unit;
 
   drop_expired (h, now);
   g_variant_iter_init (&iter, hot);
   while (g_variant_iter_next (&iter, "(tud)", &c.hash, &unit, &c.load))
     {
-      Candidate *old = candidate (h, c.hash);
+      Candidate *old = find_candidate (h, c.hash);
 
       if (!isfinite (c.load) || c.load <= 0)
         continue;
       if (old != NULL)
         {
           old->load = c.load;
-          old->seen = now;
+          old->reported = now;
         }
-      else if (h->candidates->len < CANDIDATES_MAX)
+      else if (h->candidates->len < MAX_CANDIDATES)
         g_array_append_val (h->candidates, c);
     }
 }
 
-/* What a server has at the mean. */
+/* The target of a server with a full share. */
 static double
 mean_target (const CcBalance *b)
 {
@@ -117,11 +120,12 @@
              : 0;
 }
 
-/* Whether C is worth a unit of its own: hot for long enough, in a slice that
- * is settled, at a server with too much that can give it up soon. */
+/* Whether C should get a unit of its own: it has been hot for long enough, its
+ * slice is not moving, and its server is overloaded and can confirm soon that
+ * it has stopped serving the slice. */
 static gboolean
-is_worth_it (const Candidate *c, const CcSliceMap *m, const CcBalance *b,
-             const CcHotPolicy *y, gint64 now)
+should_split (const Candidate *c, const CcSliceMap *m, const CcBalance *b,
+              const CcHotPolicy *y, gint64 now)
 {
   guint unit = cc_slicemap_unit (m, c->hash);
   const CcMapSlice *s = cc_slicemap_at (m, unit);
@@ -129,14 +133,14 @@
   return unit < m->slices->len && s->from < 0 && s->server >= 0 &&
          cc_moves_can_own (m, s->server) &&
          !cc_balance_is_unconfirmed (b, s->server) &&
-         c->load >= HOT_PART * mean_target (b) &&
-         now - c->since >= y->patience &&
+         c->load >= HOT_SHARE * mean_target (b) &&
+         now - c->since >= y->min_hot &&
          server_load (b, s->server) > y->trigger;
 }
 
 static const Candidate *
-hottest (const CcHotUnits *h, const CcSliceMap *m, const CcBalance *b,
-         const CcHotPolicy *y, gint64 now)
+hottest_to_split (const CcHotUnits *h, const CcSliceMap *m, const CcBalance *b,
+                  const CcHotPolicy *y, gint64 now)
 {
   const Candidate *best = NULL;
 
@@ -144,7 +148,7 @@
     {
       const Candidate *c = &g_array_index (h->candidates, Candidate, i);
 
-      if (is_worth_it (c, m, b, y, now) &&
+      if (should_split (c, m, b, y, now) &&
           (best == NULL || c->load > best->load))
         best = c;
     }
@@ -152,7 +156,7 @@
 }
 
 static gint32
-place_for (const Candidate *c, const CcSliceMap *m, const CcBalance *b)
+choose_server (const Candidate *c, const CcSliceMap *m, const CcBalance *b)
 {
   gint32 here = cc_slicemap_at (m, cc_slicemap_unit (m, c->hash))->server;
   gint32 least = cc_balance_least_loaded (b, c->load);
@@ -165,7 +169,7 @@
                                                                         : here;
 }
 
-/* Splits the hottest key that is worth it.  Returns its unit, or -1. */
+/* Splits the hottest key that qualifies.  Returns its unit, or -1. */
 gint32
 cc_hot_units_split (CcHotUnits *h, CcSliceMap *m, CcUnitLoads *loads,
                     const CcBalance *b, const CcHotPolicy *y, gint64 now)
@@ -175,11 +179,11 @@
   gint32 unit;
 
   drop_expired (h, now);
-  c = hottest (h, m, b, y, now);
+  c = hottest_to_split (h, m, b, y, now);
   if (c == NULL)
     return -1;
   slice = cc_slicemap_unit (m, c->hash);
-  unit = cc_moves_split (m, c->hash, place_for (c, m, b));
+  unit = cc_moves_split (m, c->hash, choose_server (c, m, b));
   if (unit < 0)
     return -1;
   cc_unit_loads_set (loads, (guint) unit, c->load);
@@ -195,17 +199,18 @@
   gint64 *since = &h->cool_since[unit - m->slices->len];
 
   if (cc_slicemap_hot (m, unit)->state != CC_HOT_SPLIT ||
-      load >= COOL_PART * mean_target (b))
+      load >= COOL_SHARE * mean_target (b))
     {
       *since = 0;
       return FALSE;
     }
   if (*since == 0)
     *since = now;
-  return now - *since >= y->cool;
+  return now - *since >= y->min_cool;
 }
 
-/* Folds one key back that has cooled.  Returns whether there was one. */
+/* Folds back one key that has been cool for long enough.  Returns whether
+ * there was one. */
 gboolean
 cc_hot_units_fold (CcHotUnits *h, CcSliceMap *m, CcUnitLoads *loads,
                    const CcBalance *b, const CcHotPolicy *y, gint64 now)
--- a/hot_units.h
+++ b/hot_units.h
@@ -1,16 +1,18 @@
-/* Which hot keys get a unit of their own, and when they lose it again. */
+/* Selects hot keys to split into units of their own, and to fold back. */
 #ifndef CC_HOT_UNITS_H
 #define CC_HOT_UNITS_H
 
 #include "balance.h"
 #include "unit_loads.h"
 
-/* When hot keys are split and folded; after the pool's `prefer`. */
+/* Conditions for splitting and folding, given by the pool's `prefer` setting.
+ */
 typedef struct
 {
-  double trigger;  /* load of its server over the target that justifies it */
-  gint64 patience; /* for which a key has to be hot first, us */
-  gint64 cool;     /* for which it has to be cool before it is folded, us */
+  double trigger;  /* load of its server over the target above which a key is
+                      split */
+  gint64 min_hot;  /* time for which a key must be hot before it is split, us */
+  gint64 min_cool; /* time for which it must be cool before it is folded, us */
 } CcHotPolicy;
 
 typedef struct CcHotUnits CcHotUnits;
--- a/hotkeys.c
+++ b/hotkeys.c
@@ -1,20 +1,20 @@
-/* Space-Saving (Metwally, Agrawal, El Abbadi 2005), with decay.
+/* Space-Saving algorithm (Metwally, Agrawal, El Abbadi 2005) with decay.
  *
- * Load pattern: a castle becomes popular before a holiday weekend, one region's
- * claims after a hailstorm.  Among billions of keys exact counting would need
- * memory for each, and a sample sees the hot key late.
+ * Outside events, such as a holiday or a storm, make single keys hot.   Among
+ * billions of keys, exact counting would need memory for each key, and sampling
+ * would detect the hot key late.
  *
- * Each key seen is counted if it has a counter; otherwise it takes over the
- * counter with the least count and inherits that count as its error.  So a
- * count is never below the true one, and above it by the least count at most,
+ * A key that arrives is counted if it has a counter; otherwise it takes over
+ * the counter with the least count and inherits that count as its error.  So a
+ * count is never below the true one and exceeds it by at most the least count,
  * which is at most the stream's length over the number of counters: a key with
- * a larger part of the stream can't be missing, and `count - error` never
- * makes a cold key hot.  Decay multiplies counts and errors alike, which keeps
- * both bounds with respect to the decayed stream.
+ * a larger part of the stream is never missing, and `count - error` never
+ * overestimates a key.  Decay scales counts and errors alike, so both bounds
+ * hold for the decayed stream.
  */
 #include "hotkeys.h"
 
-#define FORGOTTEN 0.01 /* a decayed count that frees its counter */
+#define MIN_COUNT 0.01 /* counters decayed below this are freed */
 
 /* Empties H. */
 void
@@ -33,7 +33,7 @@
 }
 
 static CcHotKey *
-least (CcHotKeys *h)
+least_counted (CcHotKeys *h)
 {
   CcHotKey *best = &h->keys[0];
 
@@ -56,14 +56,15 @@
     }
   else if (k == NULL)
     {
-      k = least (h);
+      k = least_counted (h);
       *k = (CcHotKey){ .hash = hash, .count = k->count, .error = k->count };
     }
   k->unit = unit;
   k->count += 1;
 }
 
-/* Multiplies all counts by FACTOR, 0 to 1, and frees those that are gone. */
+/* Multiplies all counts by FACTOR, 0 to 1, and frees counters below MIN_COUNT.
+ */
 void
 cc_hotkeys_decay (CcHotKeys *h, double factor)
 {
@@ -75,7 +76,7 @@
 
       k.count *= factor;
       k.error *= factor;
-      if (k.count >= FORGOTTEN)
+      if (k.count >= MIN_COUNT)
         h->keys[kept++] = k;
     }
   h->used = kept;
--- a/server_shares.h
+++ b/server_shares.h
@@ -1,16 +1,18 @@
-/* How much of a full server's load a server may have yet. */
+/* The share of load of each server of a pool, reduced while it warms up or
+ * flaps. */
 #ifndef CC_SERVER_SHARES_H
 #define CC_SERVER_SHARES_H
 
 #include "slicemap.h"
 
 /* A joining server has cold caches and connections: it gets a fifth of its
- * share at once and another fifth every WARM_STEP. */
-#define CC_WARM_STEPS 5
-#define CC_WARM_STEP (3 * CC_SECOND)
+ * share at once and another fifth every CC_WARM_UP_STEP. */
+#define CC_WARM_UP_STEPS 5
+#define CC_WARM_UP_STEP (3 * CC_SECOND)
 
-/* The second loss within FLAP_MEMORY and each one after is answered by a time
- * without units, doubled each time: 10, 20, 40 s ... up to FLAP_MAX. */
+/* From the second loss within CC_FLAP_WINDOW on, a server that returns gets no
+ * units for a hold time, which doubles with each loss: 10, 20, 40 s ... up to
+ * CC_FLAP_MAX. */
 #define CC_FLAP_WINDOW (600 * CC_SECOND)
 #define CC_FLAP_HOLD (10 * CC_SECOND)
 #define CC_FLAP_MAX (600 * CC_SECOND)
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -1,5 +1,6 @@
-/* Balance of load against churn: cases, and seeded days against a naive
- * assigner that hashes slices anew modulo the servers. */
+/* Guards against uneven load and against needless moves: fixed cases, and
+ * seeded runs compared with an assigner that rehashes slices modulo the number
+ * of servers. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,11 +18,11 @@
 typedef struct
 {
   const char *name;
-  double loads[6];   /* of units; below 0: no more */
+  double loads[6];   /* of units; negative: end of the list */
   gint32 servers[6]; /* of units */
-  double shares[3];  /* of servers; below 0: not fit */
-  guint moves;       /* expected of place, then even */
-  double imbalance;  /* expected at most */
+  double shares[3];  /* of servers; negative: not eligible */
+  guint moves;       /* expected of place and rebalance together */
+  double imbalance;  /* expected upper bound */
 } Case;
 
 static const Case cases[] = {
@@ -32,7 +33,7 @@
     { 1, 1, -1 },
     1,
     1.01 },
-  { "a homeless unit goes to the idle server",
+  { "an unassigned unit goes to the idle server",
     { 3, 1, 2, -1 },
     { 0, 1, -1 },
     { 1, 1, -1 },
@@ -56,7 +57,7 @@
     { 1, 0.5, -1 },
     2,
     1.01 },
-  { "nobody is fit: nothing moves",
+  { "no server is eligible: nothing moves",
     { 1, 1, -1 },
     { 0, -1 },
     { -1, -1, -1 },
@@ -101,7 +102,7 @@
     }
 }
 
-/* What a naive assigner moves when the number of servers goes from BEFORE to
+/* Units that rehashing moves when the number of servers goes from BEFORE to
  * AFTER. */
 static guint
 naive_moves (guint before, guint after)
@@ -113,9 +114,9 @@
   return n;
 }
 
-/* A server joins, and later one leaves, under uneven load.  Callers see a key
- * pause only if it has to move: no more than 1.1 times the fewest units, where
- * the naive assigner moves nearly all. */
+/* A server joins and later another leaves under uneven load.  Each move pauses
+ * a key for its callers, so at most 1.1 times the minimum number of units may
+ * move; rehashing moves nearly all of them. */
 static void
 join_and_leave (guint32 seed)
 {
@@ -154,8 +155,8 @@
     join_and_leave (seed);
 }
 
-/* Measured loads wander by 3%, the true ones stand still: nothing may move for
- * hours, whoever weighs what. */
+/* Measured loads vary by 3% around constant true loads: nothing may move for
+ * hours, whatever the weights of the units. */
 static void
 test_noise_moves_nothing (void **state)
 {
@@ -175,9 +176,9 @@
     }
 }
 
-/* A pool starts under load that is measured badly at first.  All its servers
- * are new, none may be filled up like one that joins a running pool: that moved
- * 700 units in 20 s on real processes. */
+/* A pool starts under load that is measured inaccurately at first.  Its
+ * servers are all new, and none may be filled like a server that joins a
+ * running pool: that moved 700 units in 20 s on real processes. */
 static void
 test_start_under_load (void **state)
 {
@@ -198,8 +199,8 @@
   world_free (w);
 }
 
-/* A server is lost and back every 15 s for an hour.  Each loss must move its
- * units; coming back may not buy them back at every turn. */
+/* A server is lost and returns every 15 s for an hour.  Each loss has to move
+ * its units, but they may not all move back after each return. */
 static void
 test_flapping_server (void **state)
 {
@@ -221,9 +222,9 @@
   world_free (w);
 }
 
-/* A server that is silent but still listed keeps its place in the map.  Taken
- * for a new one at each step, it would be given slices, lose them a second
- * later, and start its term at 1 again. */
+/* A server that is silent but still listed keeps its place in the map.
+ * Treated as new at each step, it would be given slices, lose them a second
+ * later, and restart its term at 1. */
 static void
 test_lost_server_stays_lost (void **state)
 {
@@ -267,12 +268,12 @@
   world_free (w);
 }
 
-#define LOSSES 6  /* of one server: it is given no units for 160 s after */
-#define TURNS 200 /* steps of two assigners, 40 s */
+#define LOSSES 6  /* of one server; it then gets no units for 160 s */
+#define TURNS 200 /* steps of two alternating assigners, 40 s */
 
-/* OTHER plans from now on in place of the present planner. */
+/* Swaps the active planner with OTHER. */
 static void
-take_turns (World *w, CcPlanner **other)
+swap_planners (World *w, CcPlanner **other)
 {
   CcPlanner *now = w->planner;
 
@@ -281,7 +282,7 @@
 }
 
 static void
-lose_often (World *w, const char *name)
+lose_repeatedly (World *w, const char *name)
 {
   for (guint i = 0; i < LOSSES; i++)
     {
@@ -292,9 +293,9 @@
     }
 }
 
-/* Guards against units that nobody serves: two assigners plan at the same time,
- * each remembers the losses of another server, and each takes from that server
- * what the other has just given it. */
+/* Guards against unserved units: two assigners plan at the same time, each has
+ * recorded losses of a different server, and each takes from that server what
+ * the other has just assigned to it. */
 static void
 two_assigners_do_not_undo_each_other (void **state)
 {
@@ -307,13 +308,13 @@
       CcPlanner *other = cc_planner_new ();
 
       world_spread (w, 8);
-      lose_often (w, "s1");
-      take_turns (w, &other);
-      lose_often (w, "s3");
+      lose_repeatedly (w, "s1");
+      swap_planners (w, &other);
+      lose_repeatedly (w, "s3");
       for (guint k = 0; k < TURNS; k++)
         {
           w->moves = k < TURNS / 2 ? 0 : w->moves;
-          take_turns (w, &other);
+          swap_planners (w, &other);
           world_tick (w);
         }
       if (w->moves > 0)
--- a/test/test_hotkeys.c
+++ b/test/test_hotkeys.c
@@ -1,5 +1,6 @@
-/* Hot keys: found in a stream, against exact counting; measured; and placed by
- * the assigner. */
+/* Guards against hot keys that are missed, mismeasured or left to overload a
+ * server: counts are compared with exact ones, loads with known rates, and the
+ * assigner splits, places and folds hot keys. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -49,8 +50,9 @@
     }
 }
 
-/* Streams whose hot key moves, decayed now and then: counts never below the
- * exact ones, sure counts never above, and no key of more than 1/64 missing. */
+/* The hot key of a stream changes, and counts are decayed periodically: counts
+ * are never below the exact ones, guaranteed counts never above, and no key
+ * with more than 1/64 of the stream is missing. */
 static void
 test_against_exact (void **state)
 {
@@ -85,7 +87,7 @@
   const char *name;
   double rate;    /* requests a second */
   gint64 service; /* us */
-  double load;    /* expected, slots */
+  double load;    /* expected, slots kept busy */
 } MeterCase;
 
 static const MeterCase meter_cases[] = {
@@ -94,7 +96,7 @@
   { "long ones", 5, 200 * CC_MS, 1.0 },
 };
 
-/* The load reported for unit 3 and for its hottest key, after a minute. */
+/* The load reported for unit 3 and for its hottest key after a minute. */
 static void
 test_meter (void **state)
 {
@@ -132,7 +134,7 @@
 }
 
 static WorldKey *
-heat (World *w, guint i, guint64 hash, double load)
+set_key_load (World *w, guint i, guint64 hash, double load)
 {
   WorldKey *k;
 
@@ -144,9 +146,10 @@
   return k;
 }
 
-/* Two castles of one slice become popular, each with most of a server's load.
- * Without units of their own they can't part, and their server has twice what
- * it should.  They are split, settle below 1.25, and are folded when cool. */
+/* Two keys of one slice become hot, each with most of a server's load.
+ * Without units of their own they stay together, and their server carries
+ * twice its share.  They are split, imbalance falls below 1.25, and they are
+ * folded when cool. */
 static void
 two_hot_keys (CcPreference prefer, guint32 seed)
 {
@@ -156,8 +159,8 @@
 
   world_spread (w, 20);
   world_run (w, 60);
-  heat (w, 0, hash | 1, 1.7);
-  heat (w, 1, hash | 2, 1.7);
+  set_key_load (w, 0, hash | 1, 1.7);
+  set_key_load (w, 1, hash | 2, 1.7);
   world_run (w, 240);
   splits = (guint) w->planner->splits;
   if (splits == 0 || world_imbalance (w) > 1.25)
@@ -165,8 +168,8 @@
               world_imbalance (w));
   assert_int_not_equal (cc_slicemap_unit (w->map, hash | 1),
                         cc_slicemap_unit (w->map, hash | 2));
-  heat (w, 0, hash | 1, 0.01);
-  heat (w, 1, hash | 2, 0.01);
+  set_key_load (w, 0, hash | 1, 0.01);
+  set_key_load (w, 1, hash | 2, 0.01);
   world_run (w, 1200);
   assert_int_equal (w->planner->folds, splits);
   assert_true (world_imbalance (w) < 1.25);
@@ -182,8 +185,8 @@
                   seed);
 }
 
-/* The hottest 110 keys change every few minutes.  Places in the map are bounded
- * and cooled keys give theirs back. */
+/* The 110 hottest keys change every few minutes.  Places in the map are
+ * bounded and are freed by keys that have cooled. */
 static void
 test_keys_that_change (void **state)
 {
@@ -196,7 +199,8 @@
   for (guint r = 0; r < rounds; r++)
     {
       for (guint i = 0; i < 110; i++)
-        heat (w, i, ((guint64) g_rand_int (w->rand) << 32) | 1, 8.0 / (i + 4));
+        set_key_load (w, i, ((guint64) g_rand_int (w->rand) << 32) | 1,
+                      8.0 / (i + 4));
       world_run (w, 240);
       print_message ("round %u: imbalance %.3f, %u splits, %u folds\n", r,
                      world_imbalance (w), (guint) w->planner->splits,
@@ -207,15 +211,16 @@
   world_free (w);
 }
 
-/* Guards against a leaving server that is emptied late, since moves are slow
- * and each hot key that is split holds them up: a second and two moves. */
+/* Guards against a leaving server that is drained late, because moves are slow
+ * and each split of a hot key delays them: one second and two moves are
+ * allowed. */
 static void
 a_leaving_server_is_emptied_in_time (void **state)
 {
   static const struct
   {
     guint servers;
-    gint64 lag; /* until a map is applied, us */
+    gint64 lag; /* delay until a map is applied, us */
   } cases[] = {
     { 4, 0 },           { 4, 200 * CC_MS }, { 4, 400 * CC_MS },
     { 4, 600 * CC_MS }, { 6, 600 * CC_MS }, { 18, 600 * CC_MS },
@@ -230,7 +235,7 @@
       world_run (w, 60);
       w->lag = cases[i].lag;
       for (guint k = 0; k < 8; k++)
-        heat (w, k, ((guint64) g_rand_int (w->rand) << 32) | 1, 3);
+        set_key_load (w, k, ((guint64) g_rand_int (w->rand) << 32) | 1, 3);
       world_run (w, 4);
       world_find (w, "s1")->leaving = TRUE;
       for (gint64 end = w->now + CC_SECOND + 2 * (w->lag + WORLD_TICK);
@@ -244,9 +249,9 @@
     }
 }
 
-/* Guards against a leaving server that is emptied late, since each part of its
- * units waits for a write and the first were sized for quick ones: no write is
- * begun that would end later than two seconds after. */
+/* Guards against a leaving server that is drained late, because each batch of
+ * units waits for a write and the first batches were sized for quick writes:
+ * no write may start that would complete later than two seconds after. */
 static void
 a_leaving_server_is_emptied_by_slow_writes (void **state)
 {
@@ -274,7 +279,7 @@
 }
 
 static guint
-coming_to (const World *w, const char *name)
+moving_to (const World *w, const char *name)
 {
   gint32 server = cc_slicemap_find (w->map, name);
   guint n = 0;
@@ -285,8 +290,8 @@
   return n;
 }
 
-/* Guards against units that have to move twice, since the server to which they
- * were on their way was lost or told to leave meanwhile. */
+/* Guards against units that move twice, because the server to which they were
+ * moving was lost or began to leave. */
 static void
 a_unit_on_its_way_is_sent_elsewhere (void **state)
 {
@@ -305,25 +310,25 @@
       w->write = 800 * CC_MS;
       w->lag = 800 * CC_MS;
       world_find (w, "s0")->leaving = TRUE;
-      for (guint k = 0; k < 5 && coming_to (w, "s1") == 0; k++)
+      for (guint k = 0; k < 5 && moving_to (w, "s1") == 0; k++)
         world_tick (w);
-      assert_true (coming_to (w, "s1") > 0);
+      assert_true (moving_to (w, "s1") > 0);
       world_find (w, "s1")->leaving = cases[i].leaving;
       world_find (w, "s1")->silent = cases[i].silent;
       for (gint64 end = w->now + w->write; w->now < end;)
         world_tick (w);
-      if (coming_to (w, "s1") > 0)
-        fail_msg ("case %u: %u units on their way to s1", i,
-                  coming_to (w, "s1"));
+      if (moving_to (w, "s1") > 0)
+        fail_msg ("case %u: %u units moving to s1", i,
+                  moving_to (w, "s1"));
       world_run (w, 10);
       assert_int_equal (world_owned (w, "s1"), 0);
       world_free (w);
     }
 }
 
-/* Guards against a memory of outcomes that is lost: a unit whose next holder
- * never was its owner in any map, since it moved on in the step that ended the
- * move before. */
+/* Guards against lost attempt records: a unit whose next dispatcher never
+ * owned it in any map, because it moved again in the step that ended the move
+ * before. */
 static void
 a_move_is_settled_before_the_next (void **state)
 {
@@ -338,7 +343,8 @@
           g_autofree char *name =
               g_strdup_printf ("s%d", g_rand_int_range (w->rand, 0, 6));
 
-          heat (w, k % 4, ((guint64) g_rand_int (w->rand) << 32) | 1, 2);
+          set_key_load (w, k % 4, ((guint64) g_rand_int (w->rand) << 32) | 1,
+                        2);
           w->lag = g_rand_int_range (w->rand, 0, 3) * WORLD_TICK;
           world_find (w, name)->leaving = !world_find (w, name)->leaving;
           world_run (w, (guint) g_rand_int_range (w->rand, 1, 6));
@@ -350,8 +356,9 @@
     }
 }
 
-/* Guards against moves that wait for each other: each ends as soon as the map
- * in which it began is applied, though others begin and end meanwhile. */
+/* Guards against moves that wait for each other: each completes once the map
+ * in which it started is applied, though others start and complete meanwhile.
+ */
 static void
 a_move_does_not_wait_for_later_ones (void **state)
 {
@@ -379,9 +386,10 @@
     }
 }
 
-/* Guards against a hot key that nobody serves for seconds: it is split out just
- * after its server came to another dispatcher, which can't say for as long as a
- * request may last whether what was sent before has stopped. */
+/* Guards against a hot key that is unserved for seconds: it is split out just
+ * after its server moved to another dispatcher, which cannot confirm before
+ * the longest request deadline has passed that earlier attempts have stopped.
+ */
 static void
 a_hot_key_stays_while_its_server_is_in_doubt (void **state)
 {
@@ -395,8 +403,8 @@
   w->longest = 0;
   s = world_find (
       w, cc_slicemap_owner (w->map, cc_slicemap_unit (w->map, hash))->name);
-  s->doubt_until = w->now + 10 * CC_SECOND;
-  heat (w, 0, hash, 1.7);
+  s->unconfirmed_until = w->now + 10 * CC_SECOND;
+  set_key_load (w, 0, hash, 1.7);
   world_run (w, 60);
   assert_true (w->planner->splits > 0);
   if (w->longest > CC_SECOND)
--- a/test/world.c
+++ b/test/world.c
@@ -2,9 +2,11 @@
 
 #include <math.h>
 
-#define LOADS_PERIOD CC_SECOND /* loads are reported more rarely, for speed */
+#define LOADS_PERIOD CC_SECOND /* less frequent than real reports, for speed   \
+                                */
 
-/* A pool of SERVERS that own all slices evenly, without load. */
+/* Returns a pool of SERVERS servers that own all slices evenly, without load.
+ */
 World *
 world_new (guint slices, guint servers, CcPreference prefer, guint32 seed)
 {
@@ -19,7 +21,7 @@
   w->base = g_new0 (double, slices);
   w->keys = g_array_new (FALSE, TRUE, sizeof (WorldKey));
   w->written = g_array_new (FALSE, TRUE, sizeof (gint64));
-  w->out = g_array_new (FALSE, TRUE, sizeof (gint64));
+  w->unowned_for = g_array_new (FALSE, TRUE, sizeof (gint64));
   w->rand = g_rand_new_with_seed (seed);
   w->now = CC_SECOND;
   for (guint i = 0; i < servers; i++)
@@ -46,7 +48,7 @@
   g_ptr_array_unref (w->servers);
   g_array_unref (w->keys);
   g_array_unref (w->written);
-  g_array_unref (w->out);
+  g_array_unref (w->unowned_for);
   g_rand_free (w->rand);
   cc_planner_free (w->planner);
   cc_slicemap_free (w->map);
@@ -65,7 +67,7 @@
   return NULL;
 }
 
-/* The server NAME is listed from now on. */
+/* Lists the server NAME from now on. */
 WorldServer *
 world_join (World *w, const char *name)
 {
@@ -158,9 +160,9 @@
   cc_hot_units_update (w->planner->hot, hot, w->now);
 }
 
-/* The newest version of the map that dispatchers tell of by now. */
+/* The newest version of the map that dispatchers have applied by now. */
 static guint64
-version_seen (World *w)
+applied_version (World *w)
 {
   guint64 v = w->map->version;
 
@@ -174,14 +176,15 @@
 static void
 report (World *w, GHashTable *reports)
 {
-  guint64 applied = version_seen (w);
+  guint64 applied = applied_version (w);
 
   for (gint32 i = 0; i < (gint32) w->map->servers->len; i++)
     {
       const CcMapServer *s = cc_slicemap_server (w->map, i);
       CcServerReport *r = g_new0 (CcServerReport, 1);
 
-      r->applied = w->now < world_find (w, s->name)->doubt_until ? 0 : applied;
+      r->applied =
+          w->now < world_find (w, s->name)->unconfirmed_until ? 0 : applied;
       r->lost = world_find (w, s->name)->silent;
       r->dispatcher = g_strdup ("d");
       g_hash_table_insert (reports, g_strdup (s->name), r);
@@ -203,7 +206,7 @@
   return server >= 0 ? cc_slicemap_server (m, server)->name : "";
 }
 
-/* The names of the units' servers, "" for none. */
+/* The names of the units' servers; "" for none. */
 static GPtrArray *
 owners_of (const CcSliceMap *m)
 {
@@ -216,15 +219,15 @@
 }
 
 static void
-count_out (World *w, guint unit, gboolean moves)
+count_unowned (World *w, guint unit, gboolean moves)
 {
-  gint64 *out;
+  gint64 *unowned_for;
 
-  if (w->out->len <= unit)
-    g_array_set_size (w->out, unit + 1);
-  out = &g_array_index (w->out, gint64, unit);
-  *out = moves ? *out + WORLD_TICK : 0;
-  w->longest = MAX (w->longest, *out);
+  if (w->unowned_for->len <= unit)
+    g_array_set_size (w->unowned_for, unit + 1);
+  unowned_for = &g_array_index (w->unowned_for, gint64, unit);
+  *unowned_for = moves ? *unowned_for + WORLD_TICK : 0;
+  w->longest = MAX (w->longest, *unowned_for);
 }
 
 static void
@@ -237,13 +240,13 @@
       const char *then = i < before->len ? before->pdata[i] : "";
 
       w->moves += now[0] != '\0' && then[0] != '\0' && !g_str_equal (now, then);
-      count_out (w, i, s->from >= 0);
+      count_unowned (w, i, s->from >= 0);
       if (s->from >= 0)
         w->unavailable += WORLD_TICK;
     }
 }
 
-/* Epochs of the units that move, 0 of the others. */
+/* Epochs of the moving units; 0 for the others. */
 static GArray *
 moving_epochs (const CcSliceMap *m)
 {
@@ -270,7 +273,8 @@
     }
 }
 
-/* Lets one period pass: reports come in, the assigner takes a step. */
+/* Advances the clock by one period: reports are received, and the assigner
+ * runs one step. */
 void
 world_tick (World *w)
 {
@@ -296,7 +300,7 @@
   cc_roster_free (roster);
 }
 
-/* Lets SECONDS pass. */
+/* Advances the clock by SECONDS. */
 void
 world_run (World *w, guint seconds)
 {
@@ -304,7 +308,8 @@
     world_tick (w);
 }
 
-/* The true peak over mean of the servers that are listed and answer. */
+/* The true peak over mean load of the servers that are listed and reachable.
+ */
 double
 world_imbalance (const World *w)
 {
@@ -326,7 +331,7 @@
   return total > 0 ? peak * n / total : 1;
 }
 
-/* How many units server NAME has. */
+/* The number of units of server NAME. */
 guint
 world_owned (const World *w, const char *name)
 {
@@ -335,7 +340,7 @@
   return i >= 0 ? cc_slicemap_owned (w->map, i) : 0;
 }
 
-/* Spreads TOTAL load over the slices, unevenly. */
+/* Distributes a load of TOTAL unevenly over the slices. */
 void
 world_spread (World *w, double total)
 {
--- a/test/world.h
+++ b/test/world.h
@@ -1,5 +1,5 @@
-/* One pool with its servers and its assigner, on a clock that tests advance.
- * Dispatchers are modelled by what they report. */
+/* Simulation of one pool with its servers and its assigner, on a clock that
+ * tests advance.  Dispatchers are modelled by their reports. */
 #ifndef TEST_WORLD_H
 #define TEST_WORLD_H
 
@@ -12,9 +12,9 @@
   char *name;
   gboolean listed;
   gboolean leaving;
-  gboolean silent;    /* answers nothing */
-  gint64 doubt_until; /* its holder can't tell before whether what it gave up
-                         has stopped, us */
+  gboolean silent;          /* sends no responses */
+  gint64 unconfirmed_until; /* until then its dispatcher can't confirm that
+                               units taken from it have stopped, us */
 } WorldServer;
 
 typedef struct
@@ -29,20 +29,22 @@
   CcPool pool;
   CcPlanner *planner;
   GPtrArray *servers; /* of WorldServer */
-  double *base;       /* load of each slice without the hot keys */
+  double *base;       /* load of each slice without its hot keys */
   GArray *keys;       /* of WorldKey */
   GRand *rand;
-  double noise;    /* relative, of a measured load */
-  gint64 lag;      /* until reports tell of a map, us */
-  gint64 write;    /* that a write takes, in which no step is taken, us */
-  gint64 writing;  /* a write lasts until then, us */
-  GArray *written; /* of gint64 by version: when, us */
+  double noise;    /* relative error of a measured load */
+  gint64 lag;      /* delay until reports confirm a map, us */
+  gint64 write;    /* duration of a write, during which no step is taken, us */
+  gint64 writing;  /* end of the present write, us */
+  GArray *written; /* gint64 by version: when it was written, us */
   gint64 now;
-  guint moves;        /* units that changed servers */
-  guint unsettled;    /* moves begun of units whose last move no map settled */
-  gint64 unavailable; /* unit-microseconds without an owner */
-  GArray *out;        /* of gint64: for how long each unit has had none, us */
-  gint64 longest;     /* that any was, us */
+  guint moves;     /* units that changed servers */
+  guint unsettled; /* moves of units whose previous move was not settled in any
+                      map */
+  gint64 unavailable;  /* unit-microseconds without an owner */
+  GArray *unowned_for; /* gint64 by unit: how long it has been without an owner,
+                          us */
+  gint64 longest;      /* longest time that a unit was without an owner, us */
 } World;
 
 World *world_new (guint slices, guint servers, CcPreference prefer,
--- a/unit_loads.c
+++ b/unit_loads.c
@@ -1,25 +1,25 @@
-/* Loads come in with the reports of the servers' dispatchers, each for the
- * units its server owns.  Without network or clock. */
+/* Records the load reports of the dispatchers, each for the units that a
+ * server owns, without network or clock. */
 #include "unit_loads.h"
 
 #include <math.h>
 
-#define UNITS_MAX (65536 + CC_HOT_MAX) /* as many as a document allows */
+#define MAX_UNITS (65536 + CC_HOT_MAX) /* the limit of a document */
 
 typedef struct
 {
-  double load;  /* slots kept busy */
-  gint64 taken; /* report that named it, or faded it, last, us */
+  double load;    /* slots kept busy */
+  gint64 updated; /* last reported or decayed, us */
 } UnitLoad;
 
 struct CcUnitLoads
 {
   GArray *units; /* of UnitLoad */
-  gint64 first;  /* reports have come since then, us; 0: none yet */
+  gint64 first;  /* start of uninterrupted reports, us; 0: none yet */
   gint64 last;   /* latest report, us */
 };
 
-/* No loads known. */
+/* Returns a table without any loads. */
 CcUnitLoads *
 cc_unit_loads_new (void)
 {
@@ -46,14 +46,15 @@
 }
 
 static void
-fade (UnitLoad *u, gint64 now)
+decay (UnitLoad *u, gint64 now)
 {
-  if (u->taken > 0 && now > u->taken)
-    u->load *= exp (-(double) (now - u->taken) / (double) CC_UNIT_LOADS_DECAY);
-  u->taken = now;
+  if (u->updated > 0 && now > u->updated)
+    u->load *=
+        exp (-(double) (now - u->updated) / (double) CC_UNIT_LOADS_DECAY);
+  u->updated = now;
 }
 
-/* Reports come in from NOW on, if they did not before. */
+/* Starts the history at NOW, unless it has started. */
 void
 cc_unit_loads_start (CcUnitLoads *l, gint64 now)
 {
@@ -61,8 +62,8 @@
     l->first = now;
 }
 
-/* Takes in LOADS, a(ud) of unit and load, reported at NOW for SERVER.  Units
- * that are not the server's in M are passed over: the report is older than
+/* Records the report LOADS, a(ud) of unit and load, received at NOW for
+ * SERVER. Units that SERVER does not own in M are ignored: the report predates
  * their move. */
 void
 cc_unit_loads_update (CcUnitLoads *l, const CcSliceMap *m, const char *server,
@@ -76,24 +77,24 @@
   if (index < 0)
     return;
   if (now - l->last > CC_UNIT_LOADS_MIN_HISTORY)
-    l->first = 0; /* this assigner was not the active one for a while */
+    l->first = 0; /* this assigner was inactive for some time */
   l->last = now;
   cc_unit_loads_start (l, now);
   g_variant_iter_init (&iter, loads);
   while (g_variant_iter_next (&iter, "(ud)", &unit, &load))
     {
-      if (unit >= MIN (cc_slicemap_units (m), UNITS_MAX) || !isfinite (load) ||
+      if (unit >= MIN (cc_slicemap_units (m), MAX_UNITS) || !isfinite (load) ||
           load < 0 || cc_slicemap_at (m, unit)->server != index)
         continue;
       load_at (l, unit)->load = load;
-      load_at (l, unit)->taken = now;
+      load_at (l, unit)->updated = now;
     }
   for (guint i = 0; i < cc_slicemap_units (m); i++)
-    if (cc_slicemap_at (m, i)->server == index && load_at (l, i)->taken < now)
-      fade (load_at (l, i), now);
+    if (cc_slicemap_at (m, i)->server == index && load_at (l, i)->updated < now)
+      decay (load_at (l, i), now);
 }
 
-/* The load of UNIT as known, in slots kept busy. */
+/* The last known load of UNIT, in slots kept busy. */
 double
 cc_unit_loads_of (const CcUnitLoads *l, guint unit)
 {
@@ -102,7 +103,7 @@
   return g_array_index (l->units, UnitLoad, unit).load;
 }
 
-/* Puts down LOAD for UNIT, which was just split or folded, until its
+/* Sets an estimated LOAD for UNIT, which was just split or folded, until its
  * dispatcher has measured it. */
 void
 cc_unit_loads_set (CcUnitLoads *l, guint unit, double load)
@@ -110,7 +111,7 @@
   load_at (l, unit)->load = MAX (load, 0);
 }
 
-/* Whether loads have come in for long enough to be acted on. */
+/* Whether the history is long enough for loads to be used. */
 gboolean
 cc_unit_loads_known (const CcUnitLoads *l, gint64 now)
 {
--- a/unit_loads.h
+++ b/unit_loads.h
@@ -1,16 +1,16 @@
-/* The assigner's knowledge of the load of each unit of a pool. */
+/* Load of each unit of a pool, as reported to the assigner. */
 #ifndef CC_UNIT_LOADS_H
 #define CC_UNIT_LOADS_H
 
 #include "slicemap.h"
 
-/* How long reports must have come before loads are acted on.  A dispatcher
- * reports a unit after CC_METER_MIN_AGE, and an assigner that starts must not
- * take what it does not know yet for idle. */
+/* Loads are used only after reports have been received for this long.  A
+ * dispatcher reports a unit after CC_METER_MIN_AGE, and a newly started
+ * assigner must not take units that were not reported yet for idle. */
 #define CC_UNIT_LOADS_MIN_HISTORY (6 * CC_SECOND)
 
-/* A unit that its dispatcher says nothing of fades over this time.  It covers
- * the time a unit takes, after a move, to be measured at its new server. */
+/* Time constant by which the load of an unreported unit decays.  It covers the
+ * time that a moved unit takes to be measured at its new server. */
 #define CC_UNIT_LOADS_DECAY (30 * CC_SECOND)
 
 typedef struct CcUnitLoads CcUnitLoads;
--- a/unit_meter.c
+++ b/unit_meter.c
@@ -1,9 +1,8 @@
-/* A unit's load is its arrivals a second times its mean time of service: the
- * slots it keeps busy.  Arrivals are counted before the queue, and not work
- * done: an overloaded server does the same work whatever it is asked for, and
- * its units would all look alike.  Both are averages that decay exponentially,
- * without network or clock.
- */
+/* A unit's load is its arrival rate times its mean service time: the number of
+ * slots that it keeps busy.  Arrivals are counted before the queue rather than
+ * completed work, since an overloaded server completes the same work whatever
+ * its demand, and its units would all look alike.  Both are exponentially
+ * decaying averages, without network or clock. */
 #include "unit_meter.h"
 
 #include <math.h>
@@ -11,35 +10,33 @@
 
 #include "hotkeys.h"
 
-#define FORGOTTEN 0.01 /* a decayed count that ends a unit's entry */
-#define HOT_REPORTED                                                           \
-  16                  /* keys in a report; more can't be hot at one server     \
-                       */
-#define HOT_PART 0.02 /* of the server's load, for a key to be reported */
+#define MIN_ARRIVALS 0.01   /* units decayed below this are dropped */
+#define MAX_HOT_REPORTED 16 /* no more keys can be hot at one server */
+#define MIN_HOT_SHARE 0.02  /* minimum share of the server's load */
 
-#define HOT_DECAY CC_SECOND /* hot keys decay in steps; 5% of CC_METER_TIME */
+#define HOT_DECAY_PERIOD CC_SECOND /* 5% of CC_METER_TIME */
 
-/* Assumed until a first request is served. */
-#define SERVICE_GUESS (5 * CC_MS)
+/* Used until a first request has been served. */
+#define DEFAULT_SERVICE_TIME (5 * CC_MS)
 
 typedef struct
 {
-  double arrivals; /* decayed, without the first */
+  double arrivals; /* decayed, without the first one */
   double served;   /* decayed count of service times */
-  double service;  /* their sum, us */
+  double service;  /* decayed sum of service times, us */
   gint64 first;    /* first arrival, us */
-  gint64 at;       /* decayed up to then, us */
+  gint64 at;       /* time of the last decay, us */
 } UnitMeter;
 
 struct CcUnitMeter
 {
   GHashTable *units; /* unit to UnitMeter */
-  UnitMeter all;     /* of all units together */
+  UnitMeter all;     /* all units together */
   CcHotKeys hot;
-  gint64 hot_at; /* hot keys are decayed up to then, us */
+  gint64 hot_at; /* last decay of the hot keys, us */
 };
 
-/* A meter that starts at NOW. */
+/* Returns a meter that starts at NOW. */
 CcUnitMeter *
 cc_unit_meter_new (gint64 now)
 {
@@ -83,7 +80,7 @@
   m->hot_at = now;
 }
 
-/* Notes at NOW a request for the key with HASH in UNIT. */
+/* Records a request for the key with HASH in UNIT that arrived at NOW. */
 void
 cc_unit_meter_arrived (CcUnitMeter *m, guint unit, guint64 hash, gint64 now)
 {
@@ -91,7 +88,7 @@
 
   decay (&m->all, now);
   m->all.arrivals += 1;
-  if (now - m->hot_at > HOT_DECAY)
+  if (now - m->hot_at > HOT_DECAY_PERIOD)
     decay_hot (m, now);
   cc_hotkeys_add (&m->hot, hash, unit);
   if (u == NULL)
@@ -113,7 +110,8 @@
   u->service += (double) service;
 }
 
-/* Notes at NOW that the server took SERVICE (us) for a request in UNIT. */
+/* Records that at NOW the server completed a request in UNIT after SERVICE us.
+ */
 void
 cc_unit_meter_served (CcUnitMeter *m, guint unit, gint64 service, gint64 now)
 {
@@ -124,7 +122,7 @@
     add_service (u, service, now);
 }
 
-/* Seconds of arrivals that a decayed count of U stands for. */
+/* Effective averaging time of U's decayed count, in seconds. */
 static double
 window (const UnitMeter *u, gint64 now)
 {
@@ -138,10 +136,10 @@
     return u->service / u->served / CC_SECOND;
   if (all->served > 0)
     return all->service / all->served / CC_SECOND;
-  return (double) SERVICE_GUESS / CC_SECOND;
+  return (double) DEFAULT_SERVICE_TIME / CC_SECOND;
 }
 
-/* The loads at NOW, a(ud): unit, slots kept busy.  Floating. */
+/* Returns the loads at NOW as a floating a(ud): unit, slots kept busy. */
 GVariant *
 cc_unit_meter_loads (CcUnitMeter *m, gint64 now)
 {
@@ -162,14 +160,14 @@
       g_variant_builder_add (&b, "(ud)", GPOINTER_TO_UINT (unit),
                              u->arrivals / window (u, now) *
                                  mean_service (u, &m->all));
-      if (u->arrivals < FORGOTTEN)
+      if (u->arrivals < MIN_ARRIVALS)
         g_hash_table_iter_remove (&iter);
     }
   return g_variant_builder_end (&b);
 }
 
 static gint
-by_sure_count (gconstpointer a, gconstpointer b)
+by_guaranteed_count (gconstpointer a, gconstpointer b)
 {
   const CcHotKey *x = a, *y = b;
   double d = (y->count - y->error) - (x->count - x->error);
@@ -177,8 +175,8 @@
   return d > 0 ? 1 : d < 0 ? -1 : 0;
 }
 
-/* The hot keys at NOW, a(tud): hash, unit, slots kept busy for certain.
- * Floating. */
+/* Returns the hot keys at NOW as a floating a(tud): hash, unit, guaranteed
+ * lower bound of the slots kept busy. */
 GVariant *
 cc_unit_meter_hot (CcUnitMeter *m, gint64 now)
 {
@@ -189,21 +187,22 @@
   decay (&m->all, now);
   decay_hot (m, now);
   sorted = m->hot;
-  qsort (sorted.keys, sorted.used, sizeof (CcHotKey), by_sure_count);
-  n = now - m->all.first < CC_METER_MIN_AGE ? 0
-                                            : MIN (sorted.used, HOT_REPORTED);
+  qsort (sorted.keys, sorted.used, sizeof (CcHotKey), by_guaranteed_count);
+  n = now - m->all.first < CC_METER_MIN_AGE
+          ? 0
+          : MIN (sorted.used, MAX_HOT_REPORTED);
   g_variant_builder_init (&b, G_VARIANT_TYPE ("a(tud)"));
   for (guint i = 0; i < n; i++)
     {
       const CcHotKey *k = &sorted.keys[i];
-      double sure = k->count - k->error;
+      double guaranteed = k->count - k->error;
       const UnitMeter *u =
           g_hash_table_lookup (m->units, GUINT_TO_POINTER (k->unit));
 
-      if (u == NULL || sure < HOT_PART * m->all.arrivals)
+      if (u == NULL || guaranteed < MIN_HOT_SHARE * m->all.arrivals)
         break;
       g_variant_builder_add (&b, "(tud)", k->hash, k->unit,
-                             sure / window (&m->all, now) *
+                             guaranteed / window (&m->all, now) *
                                  mean_service (u, &m->all));
     }
   return g_variant_builder_end (&b);
--- a/unit_meter.h
+++ b/unit_meter.h
@@ -1,15 +1,15 @@
-/* Measures the load of each unit of one held server. */
+/* Measures the load of each unit of a held server. */
 #ifndef CC_UNIT_METER_H
 #define CC_UNIT_METER_H
 
 #include "capercrank.h"
 
-/* Time over which loads are averaged.  At the 30 requests a second that a
- * server gets today it leaves a noise of 3% in a server's load, and a key that
- * becomes hot is seen within 10 s. */
+/* Averaging time of loads.  At 30 requests a second per server the noise in a
+ * server's load is 3%, and a key that becomes hot is detected within 10 s. */
 #define CC_METER_TIME (20 * CC_SECOND)
 
-/* A unit is reported from this age on; before, its rate is a guess. */
+/* Units are reported from this age on; before, the estimated rate is
+ * unreliable. */
 #define CC_METER_MIN_AGE (4 * CC_SECOND)
 
 typedef struct CcUnitMeter CcUnitMeter;
