--- a/hotkeys.c
+++ b/hotkeys.c
@@ -1,6 +1,6 @@
 /* Space-Saving algorithm (Metwally, Agrawal, El Abbadi 2005) with decay.
  *
- * Outside events, such as a holiday or a storm, make single keys hot.   Among
+ * Outside events, such as a holiday or a storm, make single keys hot.  Among
  * billions of keys, exact counting would need memory for each key, and sampling
  * would detect the hot key late.
  *
--- a/leader.c
+++ b/leader.c
@@ -1,9 +1,10 @@
 /* The lease of the active assigner.
  *
- * Being active is for economy, not for safety: every write of the assigner
- * is checked against the version it was computed from, and a takeover against
- * the writer's own watch of the lease.  Two active assigners would cost
- * conflicts and nothing else. */
+ * It is an optimisation, not a safeguard: every write of the assigner is
+ * checked against the version that it was computed from, and a takeover
+ * against the writer's own watch of the lease.  Two active assigners only
+ * cause write conflicts.
+ */
 #include "leader.h"
 
 #include <string.h>
@@ -14,11 +15,12 @@
 #define ROW "lease/assign"
 #define ACTIVE_ROW "assign/active"
 
-/* Others look every 50 ms at a view that is 200 ms old at the most. */
+/* Others check every 50 ms a view that is at most 200 ms old. */
 #define RESIGN_HOLD (3 * CC_SECOND)
-#define DOUBT (300 * CC_MS) /* by then a poll shows what was written */
+#define UNCERTAIN_TIME (300 * CC_MS) /* a poll shows the write by then */
 
-/* Makes L a candidate with ID, which dispatchers reach at ADDRESS. */
+/* Initialises L as a candidate with ID, reachable by dispatchers at ADDRESS.
+ */
 void
 cc_leader_init (CcLeader *l, CcPlatform *platform, const char *id,
                 const char *address, guint64 incarnation)
@@ -39,13 +41,14 @@
   return cc_lease_is_valid (&l->lease, now);
 }
 
-/* Whether this process goes on with moves at NOW.  The active assigner does so
- * after its lease has lapsed, since answers of the table may just be late,
- * until the table shows another's: before that nobody else would end them. */
+/* Whether this process may continue moves at NOW. The active assigner may
+ * continue after its lease has lapsed, since responses of the table may only
+ * be late, until the table shows another holder: until then no other process
+ * would complete them. */
 gboolean
 cc_leader_may_plan (const CcLeader *l, gint64 now)
 {
-  return cc_leader_is_active (l, now) || (l->mine && now >= l->hold_until);
+  return cc_leader_is_active (l, now) || (l->owns_row && now >= l->hold_until);
 }
 
 static char *
@@ -64,31 +67,31 @@
   if (status == CC_OK)
     {
       cc_lease_renewed (&l->lease, version);
-      l->seen = version;
+      l->row_version = version;
     }
   else if (status == CC_UNKNOWN)
-    l->doubt_until = cc_clock_now () + DOUBT;
+    l->uncertain_until = cc_clock_now () + UNCERTAIN_TIME;
   else
     cc_lease_failed (&l->lease);
 }
 
-/* A renewal whose answer was lost counts if the view shows what it wrote.
- * Without this a table that takes writes and loses its answers had no active
- * assigner for as long, and nothing was taken over. */
+/* Accepts a renewal whose response was lost once the view shows its write.
+ * Otherwise, while the table accepts writes but loses responses, no assigner
+ * would be active and nothing would be taken over. */
 static void
-settle_doubt (CcLeader *l, const CcRow *row, gint64 now)
+resolve_uncertain (CcLeader *l, const CcRow *row, gint64 now)
 {
-  g_autofree char *wanted = value_of (l, l->lease.sequence);
+  g_autofree char *written = value_of (l, l->lease.sequence);
 
-  if (l->doubt_until == 0)
+  if (l->uncertain_until == 0)
     return;
-  if (row != NULL && g_str_equal (row->value, wanted))
+  if (row != NULL && g_str_equal (row->value, written))
     cc_lease_found (&l->lease, row->version, l->lease.sequence);
-  else if (now >= l->doubt_until)
+  else if (now >= l->uncertain_until)
     cc_lease_failed (&l->lease);
   else
     return;
-  l->doubt_until = 0;
+  l->uncertain_until = 0;
 }
 
 static void
@@ -98,7 +101,7 @@
   guint64 sequence = cc_lease_begin (&l->lease, now);
   g_autofree char *value = value_of (l, sequence);
 
-  cc_transaction_check (x, ROW, l->seen);
+  cc_transaction_check (x, ROW, l->row_version);
   cc_transaction_put (x, ROW, value);
   if (first)
     cc_transaction_put (x, ACTIVE_ROW, l->active_row);
@@ -107,33 +110,33 @@
 }
 
 static void
-tell (CcLeader *l, gboolean active)
+log_change (CcLeader *l, gboolean active)
 {
-  if (active == l->told)
+  if (active == l->logged_active)
     return;
-  l->told = active;
+  l->logged_active = active;
   cc_log (CC_LOG_INFO, "leader", "%s is %s", l->id,
           active ? "active" : "standing by");
 }
 
-/* Renews or takes the lease as the VIEW of NOW allows. */
+/* Renews or takes the lease as VIEW allows at NOW. */
 void
 cc_leader_tick (CcLeader *l, const CcView *view, gint64 now)
 {
   const CcRow *row = cc_view_get (view, ROW);
 
-  l->mine = row != NULL && strstr (row->value, l->id) != NULL;
-  tell (l, cc_leader_is_active (l, now));
-  if (row != NULL && row->version > l->seen)
-    l->seen = row->version;
+  l->owns_row = row != NULL && strstr (row->value, l->id) != NULL;
+  log_change (l, cc_leader_is_active (l, now));
+  if (row != NULL && row->version > l->row_version)
+    l->row_version = row->version;
   if (row == NULL && !cc_leader_is_active (l, now))
-    l->seen = 0;
-  cc_lease_watch (&l->watch, l->seen, now);
+    l->row_version = 0;
+  cc_lease_watch (&l->watch, l->row_version, now);
   if (!l->calling)
-    settle_doubt (l, row, now);
-  if (l->calling || l->doubt_until != 0 || now < l->hold_until)
+    resolve_uncertain (l, row, now);
+  if (l->calling || l->uncertain_until != 0 || now < l->hold_until)
     return;
-  if (l->mine || cc_leader_is_active (l, now))
+  if (l->owns_row || cc_leader_is_active (l, now))
     {
       if (cc_lease_is_due (&l->lease, now))
         write_row (l, now, FALSE);
@@ -151,8 +154,9 @@
   l->calling = FALSE;
 }
 
-/* Gives the lease up, so that another can take it at once; this one waits for
- * RESIGN_HOLD, or it would be the first to find the place free. */
+/* Releases the lease, so that another process can take it at once.  This one
+ * waits for RESIGN_HOLD, since it would otherwise be the first to find the row
+ * missing. */
 void
 cc_leader_resign (CcLeader *l)
 {
@@ -161,7 +165,7 @@
   if (!cc_leader_is_active (l, cc_clock_now ()))
     return;
   x = cc_transaction_new ();
-  cc_transaction_check (x, ROW, l->seen);
+  cc_transaction_check (x, ROW, l->row_version);
   cc_transaction_put (x, ROW, NULL);
   cc_lease_revoked (&l->lease);
   l->hold_until = cc_clock_now () + RESIGN_HOLD;
--- a/leader.h
+++ b/leader.h
@@ -1,4 +1,4 @@
-/* Which of the assigners is active, by one lease row. */
+/* Elects the active assigner by a lease row. */
 #ifndef CC_LEADER_H
 #define CC_LEADER_H
 
@@ -8,15 +8,16 @@
 typedef struct
 {
   char *id;         /* of this process */
-  char *active_row; /* what assign/active says while this one is active */
+  char *active_row; /* content of assign/active while this process is active */
   CcLease lease;
-  CcLeaseWatch watch; /* of the row while another holds it */
-  guint64 seen;       /* version of the row in the view; 0: none */
-  gint64 doubt_until; /* an answer was lost: the view may tell, us; 0: no */
-  gint64 hold_until;  /* resigned; takes no lease before, us */
-  gboolean mine;      /* the row in the view is this process's */
+  CcLeaseWatch watch;     /* of the row while another process holds it */
+  guint64 row_version;    /* of the row in the view; 0: none */
+  gint64 uncertain_until; /* a renewal's result is unknown: wait until then for
+                             the view to show it, us; 0: known */
+  gint64 hold_until;      /* resigned: takes no lease before then, us */
+  gboolean owns_row;      /* the row in the view is this process's */
   gboolean calling;
-  gboolean told;
+  gboolean logged_active;
   CcPlatform *platform;
 } CcLeader;
 
--- a/map_change.c
+++ b/map_change.c
@@ -1,17 +1,18 @@
-/* The reason is read off the two maps, not reported by whoever decided: every
- * way in which a map can come to change is then covered, and what operators
- * read is what was written.
+/* The reason of a change is derived from the two maps rather than reported by
+ * the code that made it.  This covers every way in which a map can change, and
+ * operators see what was actually written.
  *
- * A handover takes two versions.  The second only completes what the first
- * began, so it keeps the first one's reason: an operator who looks a second
- * later still reads what set it off. */
+ * A move takes two versions.  The second only completes the first and keeps
+ * its reason, so that an operator who looks a second later still sees the
+ * cause.
+ */
 #include "map_change.h"
 
 #include <string.h>
 
-#define NAMED_MAX 3 /* names listed in full; more are counted */
+#define MAX_NAMED 3 /* names listed in full; further ones are counted */
 
-/* Things of one kind that happened: the first names, and how many in all. */
+/* Servers with the same kind of change: the first names and the total. */
 typedef struct
 {
   GString *names;
@@ -23,7 +24,7 @@
 {
   if (t->names == NULL)
     t->names = g_string_new (NULL);
-  if (t->count < NAMED_MAX)
+  if (t->count < MAX_NAMED)
     g_string_append_printf (t->names, "%s%s", t->count > 0 ? ", " : "", name);
   t->count++;
 }
@@ -35,8 +36,8 @@
     return;
   g_string_append_printf (into, "%s%s %s", into->len > 0 ? "; " : "",
                           t->names->str, text);
-  if (t->count > NAMED_MAX)
-    g_string_append_printf (into, " (and %u more)", t->count - NAMED_MAX);
+  if (t->count > MAX_NAMED)
+    g_string_append_printf (into, " (and %u more)", t->count - MAX_NAMED);
   g_string_free (t->names, TRUE);
 }
 
@@ -46,7 +47,7 @@
 } ServerTallies;
 
 static void
-note_state (ServerTallies *t, const CcMapServer *now, const CcMapServer *old)
+tally_state (ServerTallies *t, const CcMapServer *now, const CcMapServer *old)
 {
   if (now->state == old->state)
     return;
@@ -59,8 +60,8 @@
 }
 
 static void
-note_dispatcher (ServerTallies *t, const CcMapServer *now,
-                 const CcMapServer *old)
+tally_dispatcher (ServerTallies *t, const CcMapServer *now,
+                  const CcMapServer *old)
 {
   if (strcmp (now->dispatcher, old->dispatcher) == 0 ||
       old->dispatcher[0] == '\0')
@@ -72,7 +73,7 @@
 }
 
 static void
-note_servers (ServerTallies *t, const CcSliceMap *m, const CcSliceMap *before)
+tally_servers (ServerTallies *t, const CcSliceMap *m, const CcSliceMap *before)
 {
   for (guint i = 0; i < m->servers->len; i++)
     {
@@ -85,8 +86,8 @@
           tally_add (&t->joined, now->name);
           continue;
         }
-      note_state (t, now, old);
-      note_dispatcher (t, now, old);
+      tally_state (t, now, old);
+      tally_dispatcher (t, now, old);
     }
   for (guint i = 0; i < before->servers->len; i++)
     {
@@ -110,9 +111,9 @@
   tally_print (&t->handed_over, "is handed over, its dispatcher drains", into);
 }
 
-/* How many slices began to move or got their first owner. */
+/* Counts the slices that started to move or got their first owner. */
 static guint
-moves_begun (const CcSliceMap *m, const CcSliceMap *before)
+count_started_moves (const CcSliceMap *m, const CcSliceMap *before)
 {
   guint n = 0;
 
@@ -129,7 +130,7 @@
   m->reason = g_strdup (text);
 }
 
-/* Sets M's reason from what differs from BEFORE, the map that it replaces;
+/* Sets M's reason from its differences to BEFORE, the map that it replaces;
  * NULL if it is the first. */
 void
 cc_slicemap_update_reason (CcSliceMap *m, const CcSliceMap *before)
@@ -143,8 +144,8 @@
       set_reason (m, "the pool is new");
       return;
     }
-  moves = moves_begun (m, before);
-  note_servers (&t, m, before);
+  moves = count_started_moves (m, before);
+  tally_servers (&t, m, before);
   print_servers (&t, text);
   if (moves > 0)
     g_string_append_printf (text, "%s%u slices move",
@@ -186,9 +187,9 @@
          !g_str_equal (old->from, s->from);
 }
 
-/* The ids of the dispatchers that have to act on M, which replaces BEFORE: they
- * hold, or will hold, a server that changes hands or whose units do.  Free with
- * g_hash_table_unref. */
+/* Returns the ids of the dispatchers that must act on M, which replaces
+ * BEFORE: those that hold, or are about to hold, a server that changes
+ * dispatchers or any of whose units change.  Free with g_hash_table_unref. */
 GHashTable *
 cc_slicemap_affected_dispatchers (const CcSliceMap *m, const CcSliceMap *before)
 {
--- a/map_change.h
+++ b/map_change.h
@@ -1,4 +1,4 @@
-/* Says in words why a slice map changed. */
+/* Describes a change of a slice map, and whom it affects. */
 #ifndef CC_MAP_CHANGE_H
 #define CC_MAP_CHANGE_H
 
--- a/move_versions.h
+++ b/move_versions.h
@@ -1,4 +1,5 @@
-/* Since which version of a map its moves and handovers have been on. */
+/* Records the map version in which each move and handover in progress started.
+ */
 #ifndef CC_MOVE_VERSIONS_H
 #define CC_MOVE_VERSIONS_H
 
--- a/ownership_moves.c
+++ b/ownership_moves.c
@@ -1,31 +1,32 @@
-/* Safety of ownership, apart from the question of balance.
+/* Safety of ownership, independent of balance.
  *
  * A server changes dispatchers, and a unit changes servers, in two versions of
- * the map.  The first names the new one and, in `from`, the old one, who on
- * reading it stops and drains.  The second, without `from`, is written only
- * after the old one's dispatcher reported that it has applied the first.  A
- * dispatcher that is no longer in the roster has lost its lease, so it has
- * stopped, and its servers go to another at once under a higher term.
+ * the map.  The first names the new owner and, in `from`, the old one, which
+ * stops and drains when it reads it.  The second, without `from`, is written
+ * only after the old owner's dispatcher has reported that it applied the
+ * first.  A dispatcher that is not in the roster has lost its lease and
+ * therefore has stopped, so its servers go to another one at once, under a
+ * higher term.
  *
- * A hot key is split out of its slice, and folded back into it, by the same
- * two versions.  The whole slice moves with it, to the server where it is: its
- * attempts may be for the hot key, a server's grant does not tell the keys of
- * a slice apart, and only when the slice has stopped has the key.  Other keys
- * of the slice pause for one move; splits are rare.
+ * A hot key is split out of its slice, and folded back into it, in the same
+ * two versions.  The whole slice takes part, moving to its own server: its
+ * attempts may be for the hot key, grants do not distinguish the keys of a
+ * slice, and the key has stopped only when the slice has.  Other keys of the
+ * slice pause for one move; splits are rare.
  *
- * Epochs across splits.  Under its slice or a unit of its own, a key's epoch
- * only goes up: each change starts above both.  A unit's number is used for
- * other hot keys later, so its epoch also starts above its last, and by two: a
- * dispatcher takes an epoch one above the last that it held for the same keys'
- * next one, keeps its memory of outcomes, and would run a repeat of the new
- * key's twice (dispatch.c, held_throughout).  The slice's epoch goes up by two
- * at a fold for the same reason.
+ * Epochs across splits: whether in its slice or in a unit of its own, a key's
+ * epoch only increases, since each change starts above both.  A unit's number
+ * is reused for other hot keys, so its epoch also starts above its last one,
+ * by two: a dispatcher takes an epoch one above the last that it held as the
+ * next owner of the same keys, keeps its attempt records, and would run a
+ * repeat for the new key twice (outcome_transfer.c). For the same reason a
+ * fold increases the slice's epoch by two.
  */
 #include "ownership_moves.h"
 
 #include "cut_off.h"
 
-/* Above the last epoch, so that it is not taken for the next one. */
+/* An epoch one above the last would count as a continuation. */
 #define EPOCH_GAP 2
 
 static const CcServerReport *
@@ -45,7 +46,7 @@
   return 1;
 }
 
-/* Takes in servers that joined; marks those that leave or are lost. */
+/* Adds servers that joined; marks those that leave, are lost or are gone. */
 static guint
 update_servers (CcSliceMap *m, const CcRoster *roster, GHashTable *reports)
 {
@@ -88,8 +89,9 @@
   return n;
 }
 
-/* The dispatcher for a server in ZONE: of the same zone if there is one, since
- * others may be cut off from it, and among those the one that holds fewest. */
+/* Chooses the dispatcher for a server in ZONE: one of the same zone if there
+ * is any, since other zones may be partitioned from it, and among those the
+ * one that holds the fewest servers. */
 static const CcRosterDispatcher *
 choose_dispatcher (const CcSliceMap *m, const CcRoster *r, const char *zone)
 {
@@ -111,16 +113,16 @@
 }
 
 static void
-set_text (char **field, const char *value)
+set_string (char **field, const char *value)
 {
   g_free (*field);
   *field = g_strdup (value);
 }
 
-/* The first half of a change of dispatchers, or the whole of it if the old one
- * has no lease any more. */
+/* First step of a handover, or the whole of it if the old dispatcher has lost
+ * its lease. */
 static guint
-replace_dispatcher (CcSliceMap *m, CcMapServer *s, const CcRoster *roster)
+start_handover (CcSliceMap *m, CcMapServer *s, const CcRoster *roster)
 {
   const CcRosterDispatcher *now = cc_roster_dispatcher (roster, s->dispatcher);
   const CcRosterDispatcher *next;
@@ -131,30 +133,31 @@
   next = choose_dispatcher (m, roster, s->zone);
   if (next == NULL)
     return 0;
-  set_text (&s->from, now != NULL ? s->dispatcher : "");
-  set_text (&s->dispatcher, next->id);
+  set_string (&s->from, now != NULL ? s->dispatcher : "");
+  set_string (&s->dispatcher, next->id);
   s->term++;
   return 1;
 }
 
-/* The second half: the old dispatcher has stopped, or has lost its lease. */
+/* Second step: the old dispatcher has stopped, or has lost its lease. */
 static guint
 finish_handover (CcSliceMap *m, CcMapServer *s, const CcRoster *roster,
-                 GHashTable *reports, const CcMoveVersions *stamps)
+                 GHashTable *reports, const CcMoveVersions *move_versions)
 {
   const CcServerReport *r = report_of (reports, s, s->from);
 
   if ((cc_roster_dispatcher (roster, s->from) != NULL ||
        !cc_cut_off_has_stopped (roster, s->from)) &&
-      (r == NULL || r->applied < cc_move_versions_server (stamps, m, s->name)))
+      (r == NULL ||
+       r->applied < cc_move_versions_server (move_versions, m, s->name)))
     return 0;
-  set_text (&s->from, "");
+  set_string (&s->from, "");
   return 1;
 }
 
 static guint
 update_dispatchers (CcSliceMap *m, const CcRoster *roster, GHashTable *reports,
-                    const CcMoveVersions *stamps)
+                    const CcMoveVersions *move_versions)
 {
   guint changes = 0;
 
@@ -163,9 +166,9 @@
       CcMapServer *s = m->servers->pdata[i];
 
       if (s->from[0] != '\0')
-        changes += finish_handover (m, s, roster, reports, stamps);
+        changes += finish_handover (m, s, roster, reports, move_versions);
       else
-        changes += replace_dispatcher (m, s, roster);
+        changes += start_handover (m, s, roster);
     }
   return changes;
 }
@@ -173,7 +176,7 @@
 /* Whether the server that UNIT moves away from has stopped serving it. */
 static gboolean
 has_stopped (const CcSliceMap *m, guint unit, GHashTable *reports,
-             const CcMoveVersions *stamps)
+             const CcMoveVersions *move_versions)
 {
   const CcMapServer *from =
       cc_slicemap_server (m, cc_slicemap_at (m, unit)->from);
@@ -181,10 +184,10 @@
       from != NULL ? report_of (reports, from, from->dispatcher) : NULL;
 
   return from != NULL && from->from[0] == '\0' && r != NULL &&
-         r->applied >= cc_move_versions_unit (stamps, m, unit);
+         r->applied >= cc_move_versions_unit (move_versions, m, unit);
 }
 
-/* Whether a hot key is on its way back into SLICE. */
+/* Whether a hot key is moving back into SLICE. */
 gboolean
 cc_moves_is_folded_into (const CcSliceMap *m, guint slice)
 {
@@ -198,10 +201,11 @@
   return FALSE;
 }
 
-/* Lets hot keys settle, or be part of their slice again.  The slice itself is
- * not settled before, so nobody owns the key in between. */
+/* Completes splits and folds of hot keys.  The slice itself completes later,
+ * so that the key has no owner in between. */
 static guint
-finish_hot (CcSliceMap *m, GHashTable *reports, const CcMoveVersions *stamps)
+finish_hot (CcSliceMap *m, GHashTable *reports,
+            const CcMoveVersions *move_versions)
 {
   guint changes = 0;
 
@@ -210,7 +214,7 @@
       CcMapHot *h = &g_array_index (m->hot, CcMapHot, i);
 
       if (h->unit.from < 0 ||
-          !has_stopped (m, m->slices->len + i, reports, stamps))
+          !has_stopped (m, m->slices->len + i, reports, move_versions))
         continue;
       h->unit.from = -1;
       h->state = h->state == CC_HOT_FOLDING ? CC_HOT_FREE : CC_HOT_SPLIT;
@@ -219,9 +223,10 @@
   return changes;
 }
 
-/* Lets slices settle whose old server has stopped serving them. */
+/* Completes moves of slices whose old server has stopped serving them. */
 static guint
-finish_slices (CcSliceMap *m, GHashTable *reports, const CcMoveVersions *stamps)
+finish_slices (CcSliceMap *m, GHashTable *reports,
+               const CcMoveVersions *move_versions)
 {
   guint changes = 0;
 
@@ -229,7 +234,7 @@
     {
       CcMapSlice *s = cc_slicemap_at (m, i);
 
-      if (s->from < 0 || !has_stopped (m, i, reports, stamps) ||
+      if (s->from < 0 || !has_stopped (m, i, reports, move_versions) ||
           cc_moves_is_folded_into (m, i))
         continue;
       s->from = -1;
@@ -238,18 +243,18 @@
   return changes;
 }
 
-/* Takes into M, read at m->version and noted in STAMPS, what ROSTER and REPORTS
- * (a server's name to its CcServerReport) tell, and ends moves that may end.
- * Returns how many changes were made. */
+/* Updates M, read at version m->version and recorded in MOVE_VERSIONS, from
+ * ROSTER and REPORTS (server name to CcServerReport), and completes the moves
+ * that may complete.  Returns the number of changes. */
 guint
 cc_moves_update (CcSliceMap *m, const CcRoster *roster, GHashTable *reports,
-                 const CcMoveVersions *stamps)
+                 const CcMoveVersions *move_versions)
 {
   guint changes = update_servers (m, roster, reports);
 
-  changes += update_dispatchers (m, roster, reports, stamps);
-  changes += finish_hot (m, reports, stamps);
-  return changes + finish_slices (m, reports, stamps);
+  changes += update_dispatchers (m, roster, reports, move_versions);
+  changes += finish_hot (m, reports, move_versions);
+  return changes + finish_slices (m, reports, move_versions);
 }
 
 /* Whether SERVER may be given units. */
@@ -261,9 +266,9 @@
   return s != NULL && s->state == CC_SERVER_LIVE && s->dispatcher[0] != '\0';
 }
 
-/* Whether SERVER is live and its dispatcher can't say at present that anything
- * has stopped (holding.h): what is taken from it would have no owner until it
- * can, for as long as a request may last. */
+/* Whether SERVER is live and its dispatcher cannot confirm at present that
+ * anything has stopped (holding.h): units taken from it would have no owner
+ * until it can, for up to the longest duration of a request. */
 gboolean
 cc_moves_is_unconfirmed (const CcSliceMap *m, gint32 server,
                          GHashTable *reports)
@@ -277,7 +282,7 @@
   return r == NULL || r->applied == 0;
 }
 
-/* The first half of a move of UNIT, which must be settled, to server TO. */
+/* First step of a move of UNIT, which must be settled, to server TO. */
 void
 cc_moves_start (CcSliceMap *m, guint unit, gint32 to)
 {
@@ -288,8 +293,9 @@
   s->epoch++;
 }
 
-/* Whether UNIT is on its way to a server that may not own it any more.  A slice
- * into which a hot key is folded waits for two servers and is left alone. */
+/* Whether UNIT is moving to a server that may not own it any more.  A slice
+ * into which a hot key is folding depends on two servers and is not
+ * redirected. */
 gboolean
 cc_moves_may_redirect (const CcSliceMap *m, guint unit)
 {
@@ -299,16 +305,16 @@
          (unit >= m->slices->len || !cc_moves_is_folded_into (m, unit));
 }
 
-/* Changes the destination of UNIT, which is on its way, to server TO.  It keeps
- * its epoch, under which nobody has owned it yet. */
+/* Changes the destination of UNIT, which is moving, to server TO. It keeps its
+ * epoch, under which no server has owned it yet. */
 void
 cc_moves_redirect (CcSliceMap *m, guint unit, gint32 to)
 {
   cc_slicemap_at (m, unit)->server = to;
 }
 
-/* The first half of splitting the key with HASH out of its slice, to be owned
- * by server TO.  Returns the new unit, or -1 if it can't be done now. */
+/* First step of splitting the key with HASH out of its slice, to be owned by
+ * server TO. Returns the new unit, or -1 if this is not possible now. */
 gint32
 cc_moves_split (CcSliceMap *m, guint64 hash, gint32 to)
 {
@@ -332,8 +338,8 @@
   return unit;
 }
 
-/* The first half of folding the hot key UNIT back into its slice.  Returns
- * FALSE if it can't be done now. */
+/* First step of folding the hot key UNIT back into its slice.  Returns FALSE
+ * if this is not possible now. */
 gboolean
 cc_moves_fold (CcSliceMap *m, guint unit)
 {
--- a/ownership_moves.h
+++ b/ownership_moves.h
@@ -1,5 +1,5 @@
-/* The safe steps by which servers change dispatchers and keys change servers.
- */
+/* Safe transitions by which servers change dispatchers and keys change
+ * servers. */
 #ifndef CC_OWNERSHIP_MOVES_H
 #define CC_OWNERSHIP_MOVES_H
 
@@ -7,16 +7,18 @@
 #include "roster.h"
 #include "slicemap.h"
 
-/* What the server's dispatcher last reported. */
+/* The last report of the server's dispatcher. */
 typedef struct
 {
-  guint64 applied;  /* map version up to which it has stopped what must stop */
-  gboolean lost;    /* it finds the server silent */
-  char *dispatcher; /* who reported */
+  guint64 applied;  /* map version up to which everything that must stop has
+                       stopped; 0: unconfirmed */
+  gboolean lost;    /* the server is unreachable */
+  char *dispatcher; /* id of the reporting dispatcher */
 } CcServerReport;
 
 guint cc_moves_update (CcSliceMap *m, const CcRoster *roster,
-                       GHashTable *reports, const CcMoveVersions *stamps);
+                       GHashTable *reports,
+                       const CcMoveVersions *move_versions);
 gboolean cc_moves_can_own (const CcSliceMap *m, gint32 server);
 gboolean cc_moves_is_unconfirmed (const CcSliceMap *m, gint32 server,
                                   GHashTable *reports);
--- a/slicemap.c
+++ b/slicemap.c
@@ -1,14 +1,16 @@
-/* The slice map of one pool, an aggregate with these rules:
+/* The slice map of a pool.  Its invariants:
  *
- *  - a key belongs to one slice for the life of the pool (xxh3 of its bytes),
- *    or, while it is hot, to a unit of its own (ownership_moves.c);
- *  - a unit has one owner.  While `from` is set nobody may start to own it:
- *    the server it leaves works on until its dispatcher has stopped, and only
- *    a later version of the map, without `from`, lets the new one begin;
- *  - the epochs of a unit and of a key, and the term of a server, only go up.
+ *  - A key always belongs to the same slice (by the xxh3 hash of its bytes)
+ *    or, while it is hot, to a unit of its own (ownership_moves.c).
+ *  - A unit has at most one owner.  While `from` is set, no new owner may
+ *    start: the old server keeps serving until its dispatcher has stopped
+ *    sending, and only a later version of the map, without `from`, lets the
+ *    new owner start.
+ *  - The epochs of a unit and of a key and the term of a server never
+ *    decrease.
  *
- * The map is one row of the platform's table, replaced whole by compare and
- * set on its version.
+ * The map is stored as one row of the platform's table and is replaced as a
+ * whole by compare-and-swap on its version.
  */
 #include "slicemap.h"
 
@@ -28,7 +30,7 @@
   g_free (s);
 }
 
-/* A map of POOL with SLICES slices that nobody owns. */
+/* Returns a map of POOL with SLICES slices without owners. */
 CcSliceMap *
 cc_slicemap_new (const char *pool, guint slices)
 {
@@ -48,7 +50,7 @@
   return m;
 }
 
-/* Frees M; NULL is fine. */
+/* Frees M, which may be NULL. */
 void
 cc_slicemap_free (CcSliceMap *m)
 {
@@ -77,17 +79,18 @@
   g_ptr_array_add (m->servers, s);
 }
 
-/* A hot key is five numbers in a row: hash, state, server, from, epoch. */
-#define HOT_NUMBERS 5
+/* A hot key is stored as five consecutive numbers: hash, state, server, from,
+ * epoch. */
+#define HOT_FIELDS 5
 
 static void
 parse_hot (JsonArray *a, CcSliceMap *m)
 {
-  guint n = MIN (json_array_get_length (a) / HOT_NUMBERS, CC_HOT_MAX);
+  guint n = MIN (json_array_get_length (a) / HOT_FIELDS, CC_HOT_MAX);
 
   for (guint i = 0; i < n; i++)
     {
-      guint at = i * HOT_NUMBERS;
+      guint at = i * HOT_FIELDS;
       CcMapHot h = { 0 };
 
       h.hash = (guint64) json_array_get_int_element (a, at);
@@ -100,7 +103,8 @@
     }
 }
 
-/* Reads a row that cc_slicemap_print wrote.  Returns NULL if it is none. */
+/* Parses a row written by cc_slicemap_print.  Returns NULL if it is invalid.
+ */
 CcSliceMap *
 cc_slicemap_parse (const char *pool, guint64 version, const char *json)
 {
@@ -169,7 +173,7 @@
   json_builder_end_array (b);
 }
 
-/* The row of M as JSON.  The caller frees it. */
+/* Returns M's row as JSON, to be freed by the caller. */
 char *
 cc_slicemap_print (const CcSliceMap *m)
 {
@@ -201,14 +205,14 @@
   return json_to_string (root, FALSE);
 }
 
-/* The hash of a key, the same in every process and release. */
+/* Hashes a key.  The result is stable across processes and releases. */
 guint64
 cc_key_hash (const void *key, gsize length)
 {
   return XXH3_64bits (key, length);
 }
 
-/* The slice of a key with HASH: equal ranges of the hash. */
+/* The slice of a key with HASH: slices are equal ranges of hashes. */
 guint
 cc_slicemap_slice (const CcSliceMap *m, guint64 hash)
 {
@@ -216,7 +220,7 @@
 }
 
 /* The unit of a key with HASH: its own if it was split out, else its slice.
- * Called for each request: 128 comparisons at most, no allocation. */
+ * Called for each request: at most 128 comparisons, no allocation. */
 guint
 cc_slicemap_unit (const CcSliceMap *m, guint64 hash)
 {
@@ -230,14 +234,14 @@
   return cc_slicemap_slice (m, hash);
 }
 
-/* How many units there are: slices and places for hot keys. */
+/* The number of units: slices and places for hot keys. */
 guint
 cc_slicemap_units (const CcSliceMap *m)
 {
   return m->slices->len + m->hot->len;
 }
 
-/* The hot key with the number UNIT, or NULL if that is a slice. */
+/* The hot key entry of UNIT, or NULL if UNIT is a slice. */
 CcMapHot *
 cc_slicemap_hot (const CcSliceMap *m, guint unit)
 {
@@ -246,7 +250,8 @@
   return &g_array_index (m->hot, CcMapHot, unit - m->slices->len);
 }
 
-/* The number of a unit that is free for a hot key, or -1 if all are taken. */
+/* Returns an unused unit for a hot key, adding one if needed, or -1 if all are
+ * in use. */
 gint32
 cc_slicemap_alloc_hot (CcSliceMap *m)
 {
@@ -261,7 +266,7 @@
   return (gint32) cc_slicemap_units (m) - 1;
 }
 
-/* The server at INDEX, or NULL if INDEX is none. */
+/* The server at INDEX, or NULL if INDEX is out of range. */
 CcMapServer *
 cc_slicemap_server (const CcSliceMap *m, gint32 index)
 {
@@ -270,7 +275,7 @@
   return m->servers->pdata[index];
 }
 
-/* The index of the server named SERVER, or -1. */
+/* The index of the server named SERVER, or -1 if there is none. */
 gint32
 cc_slicemap_find (const CcSliceMap *m, const char *server)
 {
@@ -284,7 +289,7 @@
   return -1;
 }
 
-/* The unit's entry; UNIT must be below the number of units. */
+/* The entry of UNIT, which must be below the number of units. */
 CcMapSlice *
 cc_slicemap_at (const CcSliceMap *m, guint unit)
 {
@@ -293,7 +298,7 @@
   return &g_array_index (m->slices, CcMapSlice, unit);
 }
 
-/* The server that owns UNIT now, or NULL while it moves or has none. */
+/* The server that owns UNIT, or NULL while it is moving or has none. */
 const CcMapServer *
 cc_slicemap_owner (const CcSliceMap *m, guint unit)
 {
@@ -304,9 +309,10 @@
 
 /* Adds a server without dispatcher or slices.  Returns its index.
  *
- * Its term starts from the map's version, which is above every term it ever
- * had: a server that left the map and comes back without a restart still knows
- * its last term, and would refuse every grant of a count that began anew. */
+ * Its term starts from the map's version, which exceeds every term that it had
+ * before: a server that was removed from the map and returns without a restart
+ * remembers its last term, and would refuse all grants of a lower one.
+ */
 gint32
 cc_slicemap_add (CcSliceMap *m, const char *name, const char *address,
                  const char *zone)
@@ -323,7 +329,7 @@
   return (gint32) m->servers->len - 1;
 }
 
-/* How many units are, or are coming to, SERVER. */
+/* The number of units that SERVER owns or is about to own. */
 guint
 cc_slicemap_owned (const CcSliceMap *m, gint32 server)
 {
@@ -334,7 +340,7 @@
   return n;
 }
 
-/* How many units are on their way from SERVER. */
+/* The number of units that are moving away from SERVER. */
 guint
 cc_slicemap_leaving (const CcSliceMap *m, gint32 server)
 {
@@ -345,7 +351,7 @@
   return n;
 }
 
-/* How many units of M are on their way. */
+/* The number of units that are moving. */
 guint
 cc_slicemap_moving (const CcSliceMap *m)
 {
@@ -379,9 +385,9 @@
     }
 }
 
-/* Drops servers that are gone and that no unit refers to.  A lost one stays
- * as long as it is listed: taken in anew, it would pass for a live server that
- * owns nothing, be given slices, and lose them again every second. */
+/* Removes servers that are gone and that no unit refers to.  A lost server
+ * stays while it is listed: if it were removed and added again, it would count
+ * as live without slices, be given some and lose them again every second. */
 void
 cc_slicemap_compact (CcSliceMap *m)
 {
--- a/slicemap.h
+++ b/slicemap.h
@@ -1,7 +1,9 @@
-/* Which server owns which slice of a pool's keys, and who dispatches to it.
+/* The slice map of a pool: which server owns which slice of its keys, and
+ * which dispatcher holds each server.
  *
- * What is owned is a unit: a slice, numbered from 0, or a hot key that was
- * split out of its slice, numbered from the number of slices on. */
+ * The unit of ownership is a slice, numbered from 0, or a hot key that was
+ * split out of its slice, numbered from the number of slices on.
+ */
 #ifndef CC_SLICEMAP_H
 #define CC_SLICEMAP_H
 
@@ -10,9 +12,9 @@
 typedef enum
 {
   CC_SERVER_LIVE,    /* may own slices */
-  CC_SERVER_LEAVING, /* its slices move away; no new ones */
-  CC_SERVER_LOST,    /* silent: as LEAVING, without waiting for it */
-  CC_SERVER_GONE     /* listed no more: as LOST, and dropped once empty */
+  CC_SERVER_LEAVING, /* its slices move away; it gets no new ones */
+  CC_SERVER_LOST,    /* unreachable: as LEAVING, but not waited for */
+  CC_SERVER_GONE     /* not listed: as LOST, and removed once unreferenced */
 } CcServerState;
 
 typedef struct
@@ -20,29 +22,29 @@
   char *name;
   char *address; /* IP:PORT */
   char *zone;
-  char *dispatcher; /* id that holds, or will hold, the server; "" if none */
-  char *from;       /* id that is handing it over; "" if settled */
-  guint64 term;     /* counts its dispatchers; a fence */
+  char *dispatcher; /* id of its dispatcher, or of the coming one; "": none */
+  char *from;       /* id of the dispatcher handing it over; "": settled */
+  guint64 term;     /* increases with each dispatcher; a fencing token */
   CcServerState state;
 } CcMapServer;
 
 typedef struct
 {
-  gint32 server; /* index of the owner, or of the coming owner; -1: none */
-  gint32 from;   /* index of the server it moves away from; -1: settled */
-  guint64 epoch; /* counts its owners; a fence */
+  gint32 server; /* index of the owner or the coming owner; -1: none */
+  gint32 from;   /* index of the server that it moves away from; -1: settled */
+  guint64 epoch; /* increases with each owner; a fencing token */
 } CcMapSlice;
 
-/* Hot keys that have a unit of their own, at most.  The brief's hottest 110
- * fit; a row of the table grows by 40 bytes for each. */
+/* Maximum number of hot keys with units of their own.  The 110 hottest keys of
+ * the expected load fit; each adds 40 bytes to the row. */
 #define CC_HOT_MAX 128
 
 typedef enum
 {
-  CC_HOT_FREE,     /* nobody's; keeps its epoch, so that none comes again */
+  CC_HOT_FREE,     /* unused; keeps its epoch, so that no epoch is used twice */
   CC_HOT_SPLIT,    /* the key has this unit */
-  CC_HOT_FOLDING,  /* the key goes back to its slice */
-  CC_HOT_SPLITTING /* the key leaves its slice for this unit */
+  CC_HOT_FOLDING,  /* the key is moving back to its slice */
+  CC_HOT_SPLITTING /* the key is moving from its slice to this unit */
 } CcHotState;
 
 typedef struct
@@ -55,11 +57,11 @@
 typedef struct
 {
   char *pool;
-  guint64 version;    /* of the row it was read from; 0: new */
+  guint64 version;    /* of the row that it was read from; 0: new */
   GPtrArray *servers; /* of CcMapServer */
   GArray *slices;     /* of CcMapSlice, indexed by slice */
-  GArray *hot;        /* of CcMapHot; its place gives the unit's number */
-  char *reason;       /* why the last change was made, for operators */
+  GArray *hot;        /* of CcMapHot; the index determines the unit's number */
+  char *reason;       /* cause of the last change, for operators */
 } CcSliceMap;
 
 CcSliceMap *cc_slicemap_new (const char *pool, guint slices);
--- a/test/test_leader.c
+++ b/test/test_leader.c
@@ -1,7 +1,6 @@
-/* Which assigner acts while the table answers late, on a paused clock.
- *
- * What callers would see if it failed: keys without an owner until the table
- * answers in time again, since nobody ends the moves that have begun. */
+/* Guards against keys that have no owner while the table responds late: the
+ * active assigner's lease lapses, and no process completes the moves in
+ * progress. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,31 +12,32 @@
 #include "leader.h"
 
 #define ROW "lease/assign"
-#define MINE "{\"id\":\"me\",\"sequence\":1}"
-#define ANOTHERS "{\"id\":\"you\",\"sequence\":1}"
+#define OWN_ROW "{\"id\":\"me\",\"sequence\":1}"
+#define OTHER_ROW "{\"id\":\"you\",\"sequence\":1}"
 #define START (100 * CC_SECOND)
 
 typedef struct
 {
   const char *name;
-  const char *row;   /* in the view; NULL: none */
-  gint64 lapsed_for; /* us since the lease ended; negative: it stands */
+  const char *row;    /* in the view; NULL: none */
+  gint64 expired_for; /* us since the lease expired; negative: it is valid */
   gboolean resigned;
   gboolean active;
-  gboolean plans;
+  gboolean may_plan;
 } Case;
 
 static const Case cases[] = {
-  { "the lease stands", MINE, -CC_SECOND, FALSE, TRUE, TRUE },
-  { "its answers are late", MINE, CC_SECOND, FALSE, FALSE, TRUE },
-  { "another has taken over", ANOTHERS, CC_SECOND, FALSE, FALSE, FALSE },
-  { "it has no row", NULL, CC_SECOND, FALSE, FALSE, FALSE },
-  { "it has resigned, the row is still seen", MINE, -CC_SECOND, TRUE, FALSE,
+  { "the lease is valid", OWN_ROW, -CC_SECOND, FALSE, TRUE, TRUE },
+  { "its renewals are late", OWN_ROW, CC_SECOND, FALSE, FALSE, TRUE },
+  { "another process has taken over", OTHER_ROW, CC_SECOND, FALSE, FALSE,
     FALSE },
+  { "it has no row", NULL, CC_SECOND, FALSE, FALSE, FALSE },
+  { "it has resigned, the view still shows its row", OWN_ROW, -CC_SECOND, TRUE,
+    FALSE, FALSE },
 };
 
-/* Guards against moves that nobody ends while a slow table lets the lease of
- * the active assigner lapse. */
+/* Moves must go on while a slow table lets the lease of the active assigner
+ * lapse. */
 static void
 moves_go_on_until_another_is_active (void **state)
 {
@@ -54,13 +54,13 @@
       cc_leader_init (&l, p, "me", "127.0.0.1:2", 1);
       if (c->row != NULL)
         cc_view_put (&v, ROW, 7, c->row);
-      l.lease.valid_until = START - c->lapsed_for;
+      l.lease.valid_until = START - c->expired_for;
       if (c->resigned)
         cc_leader_resign (&l);
-      l.calling = TRUE; /* a renewal is under way: none is sent here */
+      l.calling = TRUE; /* a renewal is in flight, so none is sent */
       cc_leader_tick (&l, &v, START);
       if (cc_leader_is_active (&l, START) != c->active ||
-          cc_leader_may_plan (&l, START) != c->plans)
+          cc_leader_may_plan (&l, START) != c->may_plan)
         fail_msg ("%s", c->name);
       cc_view_clear (&v);
     }
--- a/test/test_map_change.c
+++ b/test/test_map_change.c
@@ -1,4 +1,5 @@
-/* What operators read as the reason of a map's last change. */
+/* Guards against a wrong reason of a map's last change, as shown to operators,
+ * and against a change that is sent to the wrong dispatchers. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -9,7 +10,7 @@
 
 #include "map_change.h"
 
-/* A settled map of two servers, each held by a dispatcher of its own. */
+/* A settled map of two servers with a dispatcher each. */
 static CcSliceMap *
 settled (void)
 {
@@ -33,7 +34,7 @@
 }
 
 static void
-nothing (CcSliceMap *m)
+no_change (CcSliceMap *m)
 {
   (void) m;
 }
@@ -88,9 +89,9 @@
   static const struct
   {
     void (*change) (CcSliceMap *m);
-    const char *reason; /* a part of it */
+    const char *reason; /* expected substring */
   } cases[] = {
-    { nothing, "earlier" },
+    { no_change, "earlier" },
     { move_one, "balance of load: 1 slices move" },
     { join, "gate-3 joined" },
     { leave, "gate-1 is leaving or drained: 1 slices move" },
@@ -112,7 +113,8 @@
     }
 }
 
-/* The second half of a move only completes it: the first one's reason stays. */
+/* The second version of a move completes it and keeps the first one's reason.
+ */
 static void
 test_completion_keeps_reason (void **state)
 {
@@ -127,19 +129,19 @@
   cc_slicemap_free (m);
 }
 
-/* A map is sent at once to the dispatchers that have to act on it, and to no
+/* A map is sent at once to the dispatchers that must act on it, and to no
  * others. */
 static void
-test_concerned (void **state)
+test_affected_dispatchers (void **state)
 {
   static const struct
   {
     void (*change) (CcSliceMap *m);
     gboolean d1, d2, d9;
   } cases[] = {
-    { nothing, FALSE, FALSE, FALSE }, { move_one, TRUE, TRUE, FALSE },
-    { join, FALSE, FALSE, FALSE },    { leave, TRUE, TRUE, FALSE },
-    { lose, FALSE, FALSE, FALSE },    { take_over, FALSE, FALSE, TRUE },
+    { no_change, FALSE, FALSE, FALSE }, { move_one, TRUE, TRUE, FALSE },
+    { join, FALSE, FALSE, FALSE },      { leave, TRUE, TRUE, FALSE },
+    { lose, FALSE, FALSE, FALSE },      { take_over, FALSE, FALSE, TRUE },
     { hand_over, TRUE, FALSE, TRUE },
   };
 
@@ -166,7 +168,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_reasons),
     cmocka_unit_test (test_completion_keeps_reason),
-    cmocka_unit_test (test_concerned),
+    cmocka_unit_test (test_affected_dispatchers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_slicemap.c
+++ b/test/test_slicemap.c
@@ -1,11 +1,6 @@
-/* Units of the map, and that a key has one owner across splits and folds.
- *
- * The schedules: what callers would see if a safeguard were missing is a
- * payment made twice, or two servers that work on one key.  Dispatchers take in
- * maps late and skip some, reports and memories travel late or get lost, while
- * the assigner moves, splits and folds at random.  The obvious model beside it:
- * a set of all ids that ran, and for each key where it runs under what epoch.
- */
+/* Guards against a second owner of a key across moves, splits and folds, which
+ * callers would see as a payment made twice.  Maps are applied late or skipped, reports and
+ * attempt records are delayed or lost, while units move at random. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,7 +27,7 @@
   gint32 server;
   guint unit;
   char *id;
-  CcOutcomes *memory;
+  CcOutcomes *outcomes;
   gint64 deadline;
 } Attempt;
 
@@ -40,11 +35,11 @@
 {
   guint to;
   CcMsgOutcomes o;
-} Parcel;
+} Message;
 
 typedef struct
 {
-  CcSliceMap *map; /* newest it took in */
+  CcSliceMap *map; /* newest map applied */
   CcOutcomes *outcomes;
   CcTransfer *transfer;
 } Dispatcher;
@@ -53,19 +48,19 @@
 {
   GRand *rand;
   guint32 seed;
-  guint slow; /* the second dispatcher takes in one map of so many */
+  guint slow; /* the second dispatcher applies one map in this many */
   gint64 now;
   CcSliceMap *map;
   CcRoster *roster;
   Dispatcher d[DISPATCHERS];
-  CcHolding *held[SERVERS]; /* NULL before its dispatcher has it */
-  CcMoveVersions *stamps;
+  CcHolding *held[SERVERS]; /* NULL until its dispatcher holds it */
+  CcMoveVersions *move_versions;
   GHashTable *reports;
-  GPtrArray *running; /* of Attempt */
-  GPtrArray *parcels; /* of Parcel */
+  GPtrArray *running;  /* of Attempt */
+  GPtrArray *messages; /* of Parcel */
   GPtrArray *ids[KEYS];
-  GHashTable *ran;      /* ids that took effect */
-  guint64 epochs[KEYS]; /* of the last attempt */
+  GHashTable *ran;      /* ids that had an effect */
+  guint64 epochs[KEYS]; /* of the key's last attempt */
   guint starts, splits, folds, repeats, redirects;
 } Schedule;
 
@@ -118,9 +113,9 @@
 }
 
 static void
-parcel_free (gpointer data)
+message_free (gpointer data)
 {
-  g_variant_unref (((Parcel *) data)->o.entries);
+  g_variant_unref (((Message *) data)->o.entries);
   g_free (data);
 }
 
@@ -156,11 +151,11 @@
     }
   for (guint i = 0; i < KEYS; i++)
     s->ids[i] = g_ptr_array_new_with_free_func (g_free);
-  s->stamps = cc_move_versions_new ();
+  s->move_versions = cc_move_versions_new ();
   s->reports =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, report_free);
   s->running = g_ptr_array_new_with_free_func (attempt_free);
-  s->parcels = g_ptr_array_new_with_free_func (parcel_free);
+  s->messages = g_ptr_array_new_with_free_func (message_free);
   s->ran = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < SLICES; i++)
     cc_moves_start (s->map, i, (gint32) (i % SERVERS));
@@ -182,11 +177,11 @@
     }
   for (guint i = 0; i < KEYS; i++)
     g_ptr_array_unref (s->ids[i]);
-  cc_move_versions_free (s->stamps);
+  cc_move_versions_free (s->move_versions);
   g_hash_table_unref (s->reports);
   g_hash_table_unref (s->ran);
   g_ptr_array_unref (s->running);
-  g_ptr_array_unref (s->parcels);
+  g_ptr_array_unref (s->messages);
   cc_roster_free (s->roster);
   cc_slicemap_free (s->map);
   g_rand_free (s->rand);
@@ -202,8 +197,8 @@
   CcMapHot *h = cc_slicemap_hot (s->map, unit);
   gint32 to = (gint32) pick (s, SERVERS);
 
-  cc_move_versions_update (s->stamps, s->map);
-  changes = cc_moves_update (s->map, s->roster, s->reports, s->stamps);
+  cc_move_versions_update (s->move_versions, s->map);
+  changes = cc_moves_update (s->map, s->roster, s->reports, s->move_versions);
   if (pick (s, 3) == 0 && u->from >= 0 && u->server >= 0 &&
       !(h == NULL && cc_moves_is_folded_into (s->map, unit)))
     {
@@ -232,7 +227,7 @@
 }
 
 static void
-take_map (Schedule *s, guint dispatcher)
+apply_map (Schedule *s, guint dispatcher)
 {
   Dispatcher *d = &s->d[dispatcher];
   g_autofree char *text = cc_slicemap_print (s->map);
@@ -289,14 +284,14 @@
   a->server = server;
   a->unit = unit;
   a->id = g_strdup (id);
-  a->memory = d->outcomes;
+  a->outcomes = d->outcomes;
   a->deadline = wall (s) + CC_SECOND;
   cc_outcomes_start (d->outcomes, "p", unit, id, wall (s));
   cc_holding_sent (s->held[server], unit);
   g_ptr_array_add (s->running, a);
 }
 
-/* A request, in half of the cases a repeat, at whatever dispatcher. */
+/* Sends a request, in half of the cases a repeat, to a random dispatcher. */
 static void
 request (Schedule *s)
 {
@@ -345,21 +340,21 @@
     return;
   a = s->running->pdata[pick (s, s->running->len)];
   cc_holding_done (s->held[a->server], a->unit, a->deadline, TRUE);
-  cc_outcomes_finish (a->memory, "p", a->unit, a->id, &run);
+  cc_outcomes_finish (a->outcomes, "p", a->unit, a->id, &run);
   g_ptr_array_remove (s->running, a);
 }
 
 static CcStatus
-send_parcel (const char *to, const CcMsgOutcomes *o, gpointer data)
+send_outcomes (const char *to, const CcMsgOutcomes *o, gpointer data)
 {
   Schedule *s = data;
-  Parcel *p = g_new0 (Parcel, 1);
+  Message *p = g_new0 (Message, 1);
 
   p->to = (guint) (to[1] - '0');
   p->o = *o;
   p->o.pool = "p";
   g_variant_ref (p->o.entries);
-  g_ptr_array_add (s->parcels, p);
+  g_ptr_array_add (s->messages, p);
   return CC_OK;
 }
 
@@ -376,7 +371,7 @@
   applied = cc_holding_applied (s->held[server], s->now, wall (s));
   if (applied == d->map->version)
     cc_transfer_stopped (d->transfer, d->map, s->held[server]->name, me,
-                         send_parcel, s);
+                         send_outcomes, s);
   r = g_new0 (CcServerReport, 1);
   r->applied = applied;
   r->dispatcher = g_strdup (me);
@@ -386,14 +381,14 @@
 static void
 deliver (Schedule *s)
 {
-  Parcel *p;
+  Message *p;
 
-  if (s->parcels->len == 0)
+  if (s->messages->len == 0)
     return;
-  p = s->parcels->pdata[pick (s, s->parcels->len)];
+  p = s->messages->pdata[pick (s, s->messages->len)];
   if (pick (s, 10) > 0)
     cc_transfer_receive (s->d[p->to].transfer, &p->o, 1);
-  g_ptr_array_remove (s->parcels, p);
+  g_ptr_array_remove (s->messages, p);
 }
 
 static void
@@ -419,9 +414,9 @@
       break;
     case 1:
       if (pick (s, 2) == 0)
-        take_map (s, 0);
+        apply_map (s, 0);
       else if (pick (s, s->slow) == 0)
-        take_map (s, 1);
+        apply_map (s, 1);
       break;
     case 2:
       report (s, pick (s, SERVERS));
