--- a/assignment.c
+++ b/assignment.c
@@ -254,7 +254,7 @@
         cc_moves_is_unconfirmed (m, (gint32) i, reports);
 }
 
-/* Whether a move takes longer than DRAIN_TIME. Only then are moving units
+/* Whether a move takes longer than DRAIN_TIME.  Only then are moving units
  * redirected: a redirected unit stays without an owner until one more map is
  * applied, but needs no second move. */
 static gboolean
--- a/balance.c
+++ b/balance.c
@@ -10,7 +10,7 @@
  * most effective move: from the server furthest above its target to the one
  * furthest below, the largest unit that fits.  Moving large units first keeps
  * the number of moves small.  Weighted moves under a churn budget follow
- * Slicer (OSDI 2016). A unit heavier than a server's whole target is never
+ * Slicer (OSDI 2016).  A unit heavier than a server's whole target is never
  * moved; its neighbours move away instead.
  */
 #include "balance.h"
--- a/leader.c
+++ b/leader.c
@@ -41,7 +41,7 @@
   return cc_lease_is_valid (&l->lease, now);
 }
 
-/* Whether this process may continue moves at NOW. The active assigner may
+/* Whether this process may continue moves at NOW.  The active assigner may
  * continue after its lease has lapsed, since responses of the table may only
  * be late, until the table shows another holder: until then no other process
  * would complete them. */
--- a/ownership_moves.c
+++ b/ownership_moves.c
@@ -19,7 +19,7 @@
  * is reused for other hot keys, so its epoch also starts above its last one,
  * by two: a dispatcher takes an epoch one above the last that it held as the
  * next owner of the same keys, keeps its attempt records, and would run a
- * repeat for the new key twice (outcome_transfer.c). For the same reason a
+ * repeat for the new key twice (outcome_transfer.c).  For the same reason a
  * fold increases the slice's epoch by two.
  */
 #include "ownership_moves.h"
@@ -305,7 +305,7 @@
          (unit >= m->slices->len || !cc_moves_is_folded_into (m, unit));
 }
 
-/* Changes the destination of UNIT, which is moving, to server TO. It keeps its
+/* Changes the destination of UNIT, which is moving, to server TO.  It keeps its
  * epoch, under which no server has owned it yet. */
 void
 cc_moves_redirect (CcSliceMap *m, guint unit, gint32 to)
@@ -314,7 +314,7 @@
 }
 
 /* First step of splitting the key with HASH out of its slice, to be owned by
- * server TO. Returns the new unit, or -1 if this is not possible now. */
+ * server TO.  Returns the new unit, or -1 if this is not possible now. */
 gint32
 cc_moves_split (CcSliceMap *m, guint64 hash, gint32 to)
 {
--- a/test/ownership.c
+++ b/test/ownership.c
@@ -1,13 +1,15 @@
-/* Dispatchers, assigners, servers and a table in one thread, on a clock that
- * jumps by ticks.  They use the real lease, holding, assignment, slice map and
- * view; the network, the table and the servers are a list of events, each of
- * which may be late, lost or out of order.  Processes are paused and lost.
+/* Simulates dispatchers, assigners, servers and a table in one thread, on a
+ * clock that advances in ticks.  The lease, holding, assignment, slice map and
+ * view are the real ones; the network, the table and the servers are a list of
+ * events, each of which may be late, lost or out of order.  Processes are
+ * paused and lost.
  *
- * The model that judges is obviously right: it sees every effect at every
- * server with its true time.  Two servers never have effects for a slice at
- * overlapping times; no effect has an older epoch than one before it; whoever
- * sends has a lease row that stands in the table at that moment; epochs and
- * terms in the table only go up, and a slice that has an owner keeps one. */
+ * The model sees each effect at each server with its true time and checks that
+ * no two servers have effects for a slice at overlapping times; that no effect
+ * has an older epoch than an earlier one; that a sender's lease row is in the
+ * table when it sends; that epochs and terms in the table never decrease; and
+ * that a slice with an owner keeps one.
+ */
 #include "ownership_world.h"
 
 #include <stdio.h>
@@ -36,11 +38,11 @@
 {
   va_list args;
 
-  w->verdict.faults++;
-  if (w->verdict.first != NULL)
+  w->result.faults++;
+  if (w->result.first != NULL)
     return;
   va_start (args, format);
-  w->verdict.first = g_strdup_vprintf (format, args);
+  w->result.first = g_strdup_vprintf (format, args);
   va_end (args);
 }
 
@@ -58,20 +60,20 @@
   g_free (e);
 }
 
-/* Puts E on its way: mostly quick, now and then seconds late, or never. */
+/* Queues E: delivered soon, sometimes seconds late, or never. */
 void
 world_post (World *w, Event *e)
 {
   double p = g_rand_double (w->rand);
-  gboolean rough = w->now < CHAOS;
+  gboolean faulty = w->now < FAULT_TIME;
 
-  if (rough && p < (e->kind == EV_ROWS && e->call == 0 ? 0.3 : 0.02))
+  if (faulty && p < (e->kind == EV_ROWS && e->call == 0 ? 0.3 : 0.02))
     {
       world_event_free (e);
       return;
     }
   e->due = w->now + world_span (w, CC_MS, 15 * CC_MS);
-  if (rough && p > 0.98)
+  if (faulty && p > 0.98)
     e->due += world_span (w, 0, 4 * CC_SECOND);
   g_ptr_array_add (w->events, e);
 }
@@ -94,7 +96,7 @@
 
   p->call = e->call = ++w->ids;
   p->call_until = w->now + CALL_TIMEOUT;
-  e->life = p->life;
+  e->incarnation = p->incarnation;
   return e;
 }
 
@@ -106,9 +108,9 @@
   return row != NULL ? row->version : 0;
 }
 
-/* An acknowledged assignment survives: nothing in it goes back. */
+/* Checks that an acknowledged assignment survives: nothing in it goes back. */
 static void
-judge_map (World *w, const char *before, const char *after)
+check_map (World *w, const char *before, const char *after)
 {
   g_autoptr (GHashTable) terms = g_hash_table_new (g_str_hash, g_str_equal);
   CcSliceMap *a = cc_slicemap_parse (POOL, 1, before);
@@ -151,9 +153,9 @@
 
       if (g_str_has_prefix (e->keys[i], "map/"))
         {
-          w->verdict.moves++;
+          w->result.moves++;
           if (row != NULL)
-            judge_map (w, row->value, e->values[i]);
+            check_map (w, row->value, e->values[i]);
         }
       cc_view_put (&w->table, e->keys[i], w->last, e->values[i]);
     }
@@ -177,14 +179,14 @@
 }
 
 void
-world_table_serves (World *w, const Event *e)
+world_handle_table_request (World *w, const Event *e)
 {
   Event *done =
       world_event (e->kind == EV_POLL ? EV_ROWS : EV_DONE, 0, e->from);
   const CcRow *row;
 
   done->call = e->call;
-  done->life = e->life;
+  done->incarnation = e->incarnation;
   if (w->now < w->down_until)
     done->status = CC_UNKNOWN;
   else if (e->kind == EV_COMMIT)
@@ -213,12 +215,12 @@
 start_peer (World *w, Peer *p)
 {
   p->alive = TRUE;
-  p->life = ++w->ids;
+  p->incarnation = ++w->ids;
   p->skew = world_span (w, -CC_SKEW_MAX / 2, CC_SKEW_MAX / 2);
   cc_view_init (&p->view);
   p->call = p->poll_due = 0;
-  p->doubtful = p->draining = FALSE;
-  memset (p->told, 0, sizeof p->told);
+  p->uncertain = p->draining = FALSE;
+  memset (p->sent_upto, 0, sizeof p->sent_upto);
   p->watches = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   p->reports = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                       world_report_free);
@@ -251,12 +253,12 @@
   s->alive = TRUE;
   s->leaving = FALSE;
   s->term = 0;
-  s->lapses = 0;
+  s->valid_until = 0;
   s->skew = world_span (w, -CC_SKEW_MAX / 2, CC_SKEW_MAX / 2);
 }
 
 static gint64
-pause_length (World *w)
+pause_end (World *w)
 {
   return w->now +
          world_span (w, 50 * CC_MS,
@@ -264,7 +266,7 @@
 }
 
 static void
-harm_peer (World *w)
+inject_peer_fault (World *w)
 {
   Peer *p = &w->peers[g_rand_int_range (w->rand, 0, PEERS)];
 
@@ -278,15 +280,15 @@
       p->draining = p->alive;
       break;
     case 2:
-      p->deaf_until = pause_length (w);
+      p->unreachable_until = pause_end (w);
       break;
     default:
-      p->paused_until = pause_length (w);
+      p->paused_until = pause_end (w);
     }
 }
 
 static void
-harm_server (World *w)
+inject_server_fault (World *w)
 {
   Server *s = &w->servers[g_rand_int_range (w->rand, 0, SERVERS)];
 
@@ -301,30 +303,30 @@
       s->leaving = !s->leaving;
       break;
     default:
-      s->paused_until = pause_length (w);
+      s->paused_until = pause_end (w);
     }
 }
 
 static void
-harm (World *w)
+inject_fault (World *w)
 {
-  if (w->now >= CHAOS || !world_chance (w, 0.015))
+  if (w->now >= FAULT_TIME || !world_chance (w, 0.015))
     return;
   switch (g_rand_int_range (w->rand, 0, 6))
     {
     case 0:
-      w->down_until = pause_length (w);
+      w->down_until = pause_end (w);
       break;
     case 1:
     case 2:
-      harm_peer (w);
+      inject_peer_fault (w);
       break;
     default:
-      harm_server (w);
+      inject_server_fault (w);
     }
 }
 
-/* Hands E over.  Returns FALSE if its receiver is paused: it stays. */
+/* Delivers E.  Returns FALSE if its receiver is paused and E stays queued. */
 static gboolean
 deliver (World *w, Event *e)
 {
@@ -335,19 +337,20 @@
 
   if (e->kind <= EV_POLL)
     {
-      world_table_serves (w, e);
+      world_handle_table_request (w, e);
       return TRUE;
     }
   if (w->now < paused)
     {
-      e->waited = TRUE;
+      e->was_delayed = TRUE;
       return FALSE;
     }
-  w->verdict.thawed += e->waited ? 1 : 0;
+  w->result.delayed += e->was_delayed ? 1 : 0;
   if (to_server && s->alive)
     e->kind == EV_GRANT ? world_on_grant (w, s, e) : world_on_work (w, s, e);
-  else if (!to_server && p->alive && (e->life == 0 || e->life == p->life))
-    world_peer_takes (w, p, e);
+  else if (!to_server && p->alive &&
+           (e->incarnation == 0 || e->incarnation == p->incarnation))
+    world_handle_message (w, p, e);
   return TRUE;
 }
 
@@ -360,7 +363,7 @@
 
       if (e->due <= w->now && deliver (w, e))
         {
-          /* what was posted meanwhile stands behind I */
+          /* events posted meanwhile are behind I */
           g_ptr_array_remove_index_fast (w->events, i);
         }
     }
@@ -384,7 +387,7 @@
 step (World *w)
 {
   w->now += TICK;
-  harm (w);
+  inject_fault (w);
   deliver_due (w);
   for (guint i = 0; i < PEERS; i++)
     tick_peer (w, &w->peers[i]);
@@ -400,7 +403,7 @@
 }
 
 static void
-heal (World *w)
+end_faults (World *w)
 {
   for (guint i = 0; i < PEERS; i++)
     w->peers[i].draining = FALSE;
@@ -408,8 +411,8 @@
     w->servers[i].leaving = FALSE;
 }
 
-/* Runs the schedule that SEED gives, without the safeguard OMIT. */
-Verdict
+/* Runs the schedule of SEED without the safeguard OMIT. */
+RunResult
 ownership_run (guint32 seed, Omission omit)
 {
   World w = { .rand = g_rand_new_with_seed (seed), .omit = omit };
@@ -425,13 +428,13 @@
       w.servers[i].checks = seed % 2 == 0;
       w.servers[i].works = g_array_new (FALSE, FALSE, sizeof (Work));
     }
-  while (w.now < CHAOS)
+  while (w.now < FAULT_TIME)
     step (&w);
-  heal (&w);
-  while (w.now < CHAOS + QUIET)
+  end_faults (&w);
+  while (w.now < FAULT_TIME + RECOVERY_TIME)
     step (&w);
   for (guint i = 0; i < SLICES; i++)
-    w.verdict.unserved += w.truth[i].last < w.now - QUIET / 3;
+    w.result.unserved += w.model[i].last < w.now - RECOVERY_TIME / 3;
   for (guint i = 0; i < PEERS; i++)
     {
       end_peer (&w.peers[i]);
@@ -442,5 +445,5 @@
   g_ptr_array_unref (w.events);
   cc_view_clear (&w.table);
   g_rand_free (w.rand);
-  return w.verdict;
+  return w.result;
 }
--- a/test/ownership_assigner.c
+++ b/test/ownership_assigner.c
@@ -1,4 +1,4 @@
-/* The assigners of the small world, and how all follow the table. */
+/* The simulated assigners, and how all peers follow the table. */
 #include "ownership_world.h"
 
 #include <string.h>
@@ -31,7 +31,7 @@
   e->keys[1] = g_strconcat ("member/", row->key + strlen ("lease/"), NULL);
   e->checked = w->omit != OMIT_ROW_CHECK;
   e->version = row->version;
-  w->verdict.takeover++;
+  w->result.takeover++;
   world_post (w, e);
 }
 
@@ -147,10 +147,10 @@
 {
   Event *e = world_event (EV_ROWS, p->index, to);
 
-  e->since = p->told[to];
+  e->since = p->sent_upto[to];
   e->upto = p->view.upto;
   e->rows = world_rows_since (&p->view, e->since, TRUE);
-  p->told[to] = e->upto;
+  p->sent_upto[to] = e->upto;
   world_post (w, e);
 }
 
@@ -177,12 +177,12 @@
   Event *e;
   guint other = (guint) g_rand_int_range (w->rand, 0, DISPATCHERS);
 
-  if (w->now >= p->poll_due && w->now >= p->deaf_until)
+  if (w->now >= p->poll_due && w->now >= p->unreachable_until)
     {
       p->poll_due = w->now + 200 * CC_MS;
       e = world_event (EV_POLL, p->index, 0);
       e->call = ++w->ids;
-      e->life = p->life;
+      e->incarnation = p->incarnation;
       e->since = p->view.upto;
       world_post (w, e);
     }
@@ -195,8 +195,8 @@
     }
 }
 
-/* A map that was written is known to its writer, and to each dispatcher that
- * has seen the members that it rests on. */
+/* Applies a written map at its writer, and sends it to each dispatcher, to be
+ * applied by those that know the member rows that it depends on. */
 static void
 publish (World *w, Peer *p, guint64 version)
 {
@@ -236,7 +236,7 @@
 }
 
 void
-world_peer_takes (World *w, Peer *p, const Event *e)
+world_handle_message (World *w, Peer *p, const Event *e)
 {
   switch (e->kind)
     {
@@ -247,7 +247,7 @@
       world_on_rows (w, p, e);
       break;
     case EV_SYNC:
-      p->told[e->from] = e->upto;
+      p->sent_upto[e->from] = e->upto;
       world_send_rows (w, p, e->from);
       break;
     case EV_ACK:
--- a/test/ownership_dispatcher.c
+++ b/test/ownership_dispatcher.c
@@ -1,12 +1,12 @@
-/* The dispatchers of the small world: lease, held servers, grants, work. */
+/* The simulated dispatchers: lease, held servers, grants, requests. */
 #include "ownership_world.h"
 
 void
 world_choose_id (Peer *p)
 {
   g_free (p->id);
-  p->id = g_strdup_printf ("d%u.%" G_GUINT64_FORMAT ".%u", p->index, p->life,
-                           ++p->count);
+  p->id = g_strdup_printf ("d%u.%" G_GUINT64_FORMAT ".%u", p->index,
+                           p->incarnation, ++p->count);
   cc_lease_init (&p->lease);
   p->drain_written = FALSE;
 }
@@ -49,9 +49,9 @@
 }
 
 static void
-settle_doubt (World *w, Peer *p, const Event *e)
+resolve_uncertain (World *w, Peer *p, const Event *e)
 {
-  p->doubtful = FALSE;
+  p->uncertain = FALSE;
   if (e->values[0] != NULL)
     cc_lease_found (&p->lease, e->version,
                     g_ascii_strtoull (e->values[0], NULL, 10));
@@ -65,14 +65,14 @@
 void
 world_dispatcher_done (World *w, Peer *p, const Event *e)
 {
-  if (p->doubtful && e->keys[0] != NULL && e->status == CC_OK)
-    settle_doubt (w, p, e);
-  else if (p->doubtful)
+  if (p->uncertain && e->keys[0] != NULL && e->status == CC_OK)
+    resolve_uncertain (w, p, e);
+  else if (p->uncertain)
     return;
   else if (e->status == CC_OK)
     renewed (w, p, e->version);
   else
-    p->doubtful = TRUE;
+    p->uncertain = TRUE;
 }
 
 static void
@@ -81,11 +81,11 @@
   if (p->call != 0 && w->now >= p->call_until)
     {
       p->call = 0;
-      p->doubtful = TRUE;
+      p->uncertain = TRUE;
     }
   if (p->call != 0)
     return;
-  if (p->doubtful)
+  if (p->uncertain)
     {
       Event *e = world_begin_call (w, p, EV_READ);
 
@@ -97,14 +97,14 @@
 }
 
 static Held *
-take_server (World *w, const Peer *p, const CcMapServer *s, guint index)
+hold_server (World *w, const Peer *p, const CcMapServer *s, guint index)
 {
   Held *h = g_new0 (Held, 1);
-  gint64 quiet =
-      s->term == 1 ? 0 : world_wall (w, p->skew) + CC_SKEW_MAX + LONGEST;
+  gint64 quiet_until =
+      s->term == 1 ? 0 : world_wall (w, p->skew) + CC_SKEW_MAX + MAX_DEADLINE;
 
   h->holding =
-      cc_holding_new (POOL, s, w->servers[index].checks, w->now, quiet);
+      cc_holding_new (POOL, s, w->servers[index].checks, w->now, quiet_until);
   h->attempts = g_array_new (FALSE, FALSE, sizeof (Attempt));
   return h;
 }
@@ -114,15 +114,15 @@
 {
   const CcMapServer *s = cc_slicemap_server (p->map, i);
   guint index = (guint) (s->name[0] - '0');
-  gboolean mine = g_str_equal (s->dispatcher, p->id) && s->from[0] == '\0';
+  gboolean owned = g_str_equal (s->dispatcher, p->id) && s->from[0] == '\0';
   gboolean leaving = g_str_equal (s->from, p->id);
   Held **h = &p->held[index];
 
-  if (*h == NULL && (mine || leaving))
-    *h = take_server (w, p, s, index);
+  if (*h == NULL && (owned || leaving))
+    *h = hold_server (w, p, s, index);
   if (*h == NULL)
     return;
-  if (!mine && !leaving)
+  if (!owned && !leaving)
     {
       world_held_free (*h);
       *h = NULL;
@@ -174,7 +174,7 @@
   h->granting = TRUE;
   h->grant_due = w->now + CC_GRANT_PERIOD;
   e->call = h->holding->serial;
-  e->life = p->life;
+  e->incarnation = p->incarnation;
   e->sent = w->now;
   if (cc_holding_may_grant (h->holding, w->now))
     {
@@ -205,7 +205,7 @@
 }
 
 static void
-judge_sender (World *w, const Peer *p)
+check_sender (World *w, const Peer *p)
 {
   g_autofree char *key = g_strconcat ("lease/", p->id, NULL);
 
@@ -217,7 +217,7 @@
 static void
 send_work (World *w, Peer *p, guint i, guint slice)
 {
-  static const gint64 limits[] = { CC_SECOND / 2, 2 * CC_SECOND, LONGEST };
+  static const gint64 limits[] = { CC_SECOND / 2, 2 * CC_SECOND, MAX_DEADLINE };
   Held *h = p->held[i];
   Event *e = world_event (EV_WORK, p->index, i);
   const CcHeldSlice *s =
@@ -226,9 +226,9 @@
 
   a.deadline = world_wall (w, p->skew) +
                limits[g_rand_int_range (w->rand, 0, G_N_ELEMENTS (limits))];
-  judge_sender (w, p);
+  check_sender (w, p);
   e->call = a.id;
-  e->life = p->life;
+  e->incarnation = p->incarnation;
   e->slice = slice;
   e->epochs[slice] = s->epoch;
   e->term = h->holding->term;
@@ -307,13 +307,13 @@
 
   end_overdue (w, p, h);
   if (h->granting && w->now >= h->grant_due + 200 * CC_MS)
-    h->granting = FALSE; /* its call timed out */
+    h->granting = FALSE; /* the call timed out */
   if (!h->granting && w->now >= h->grant_due && h->holding->active && valid)
     send_grant (w, p, i);
   if (valid && h->attempts->len < 4 && world_chance (w, 0.3) &&
       cc_holding_may_send (h->holding, slice, w->now))
     send_work (w, p, i, slice);
-  if (w->omit == OMIT_QUIET)
+  if (w->omit == OMIT_UNANSWERED)
     h->holding->doubt = FALSE;
   report (w, p, i);
 }
--- a/test/ownership_server.c
+++ b/test/ownership_server.c
@@ -1,4 +1,4 @@
-/* The servers of the small world, and the judge of what took effect there. */
+/* The simulated servers, and the checks of the effects that they have. */
 #include "ownership_world.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 {
   if (!s->checks || w->omit == OMIT_GRANT_CHECK)
     return TRUE;
-  return k->term == s->term && w->now < s->lapses &&
+  return k->term == s->term && w->now < s->valid_until &&
          s->epochs[k->slice] == k->epoch;
 }
 
@@ -16,20 +16,20 @@
 world_on_grant (World *w, Server *s, const Event *e)
 {
   Event *ack = world_event (EV_ACK, 0, e->from);
-  gint64 life = CC_GRANT_TTL;
+  gint64 ttl = CC_GRANT_TTL;
 
-  ack->life = e->life;
+  ack->incarnation = e->incarnation;
   ack->server = s->index;
   ack->serial = e->serial;
   ack->term = e->term;
   ack->sent = e->sent;
   ack->refused = e->term < s->term;
   if (w->omit != OMIT_GRANT_EXPIRY)
-    life = MIN (life, e->deadline - world_wall (w, s->skew));
+    ttl = MIN (ttl, e->deadline - world_wall (w, s->skew));
   if (e->serial != 0 && !ack->refused)
     {
       s->term = e->term;
-      s->lapses = w->now + life;
+      s->valid_until = w->now + ttl;
       memcpy (s->epochs, e->epochs, sizeof s->epochs);
     }
   world_post (w, ack);
@@ -42,7 +42,7 @@
 
   e->server = s->index;
   e->call = k->id;
-  e->life = k->life;
+  e->incarnation = k->incarnation;
   world_post (w, e);
 }
 
@@ -57,7 +57,7 @@
              .ends = w->now + world_span (w, 5 * CC_MS, 200 * CC_MS),
              .deadline = e->deadline,
              .from = e->from,
-             .life = e->life };
+             .incarnation = e->incarnation };
 
   if (world_wall (w, s->skew) > e->deadline || !is_granted (w, s, &k))
     answer (w, s, &k);
@@ -66,26 +66,26 @@
 }
 
 static void
-judge_effect (World *w, const Server *s, const Work *k)
+check_effect (World *w, const Server *s, const Work *k)
 {
-  Truth *t = &w->truth[k->slice];
+  SliceModel *t = &w->model[k->slice];
 
-  w->verdict.effects++;
+  w->result.effects++;
   for (guint i = 0; i < SERVERS; i++)
-    if (i != s->index && t->ended[i] > k->begun)
+    if (i != s->index && t->last_effect[i] > k->begun)
       world_fault (
           w, "%" G_GINT64_FORMAT ": slice %u at servers %u and %u at once",
           w->now, k->slice, i, s->index);
   if (k->epoch < t->epoch)
     world_fault (w, "%" G_GINT64_FORMAT ": slice %u at %u in an older epoch",
                  w->now, k->slice, s->index);
-  t->ended[s->index] = w->now;
+  t->last_effect[s->index] = w->now;
   t->epoch = MAX (t->epoch, k->epoch);
   t->last = w->now;
 }
 
-/* Work ends.  A server that doesn't check grants lets all take effect that it
- * has begun, whatever its deadline. */
+/* Completes work that is due.  A server that does not check grants completes
+ * everything that it has started, whatever its deadline. */
 void
 world_tick_server (World *w, Server *s)
 {
@@ -97,7 +97,7 @@
         continue;
       g_array_remove_index_fast (s->works, i);
       if (!s->checks || is_granted (w, s, &k))
-        judge_effect (w, s, &k);
+        check_effect (w, s, &k);
       answer (w, s, &k);
     }
 }
--- a/test/ownership_world.h
+++ b/test/ownership_world.h
@@ -1,4 +1,4 @@
-/* The inside of the small world, shared by the files that make it up. */
+/* Internals of the simulation, shared by its source files. */
 #ifndef TEST_OWNERSHIP_WORLD_H
 #define TEST_OWNERSHIP_WORLD_H
 
@@ -15,24 +15,24 @@
 #define SLICES 8
 #define PEERS (DISPATCHERS + ASSIGNERS)
 #define TICK (10 * CC_MS)
-#define CHAOS (12 * CC_SECOND) /* faults begin within this time */
-#define QUIET (12 * CC_SECOND) /* none after it; all is served at its end */
+#define FAULT_TIME (12 * CC_SECOND)    /* faults start only within this time */
+#define RECOVERY_TIME (12 * CC_SECOND) /* follows, without faults */
 #define WALL (1700000000 * CC_SECOND)
 #define CALL_TIMEOUT (700 * CC_MS)
-#define LONGEST (3 * CC_SECOND) /* deadline of a request */
+#define MAX_DEADLINE (3 * CC_SECOND) /* longest deadline of a request */
 
 typedef enum
 {
   EV_COMMIT, /* to the table: a transaction */
   EV_READ,   /* to the table: one lease row */
   EV_POLL,   /* to the table: changes */
-  EV_DONE,   /* to a process: how its call ended */
+  EV_DONE,   /* to a process: result of its call */
   EV_ROWS,   /* to a process: changes, from the table or a peer */
   EV_SYNC,   /* to a peer: send rows */
   EV_GRANT,  /* to a server */
-  EV_ACK,    /* to a dispatcher: a grant arrived */
-  EV_WORK,   /* to a server */
-  EV_ANSWER, /* to a dispatcher: work ended */
+  EV_ACK,    /* to a dispatcher: response to a grant */
+  EV_WORK,   /* to a server: a request */
+  EV_ANSWER, /* to a dispatcher: response to a request */
   EV_REPORT  /* to an assigner */
 } EventKind;
 
@@ -40,12 +40,12 @@
 {
   EventKind kind;
   gint64 due;
-  guint from, to; /* peer, or server */
-  guint64 life;   /* of the receiver it is meant for; 0: any */
-  guint64 call;   /* matches an answer to its question */
-  char *keys[2];  /* of a transaction's rows; of a READ */
+  guint from, to;      /* peer, or server */
+  guint64 incarnation; /* incarnation of the receiver; 0: any */
+  guint64 call;        /* matches a response to its request */
+  char *keys[2];       /* rows of a transaction, or the row of an EV_READ */
   char *values[2];
-  guint64 version; /* checked; written; or of the row read */
+  guint64 version; /* to check, as written, or of the row read */
   gboolean checked;
   CcStatus status;
   guint64 since, upto;
@@ -55,7 +55,7 @@
   guint64 term, serial, applied;
   gint64 sent, deadline;
   gboolean lost, refused;
-  gboolean waited; /* inside a paused process */
+  gboolean was_delayed; /* its receiver was paused */
 } Event;
 
 typedef struct
@@ -79,28 +79,28 @@
 {
   guint index;
   gboolean alive;
-  guint64 life;
+  guint64 incarnation;
   gint64 paused_until, restart_at, skew;
-  gint64 deaf_until; /* polls fail, peers are heard in part */
+  gint64 unreachable_until; /* polls fail until then */
   CcView view;
   gint64 poll_due, sync_due, step_due;
-  guint64 told[PEERS]; /* rows sent to each peer, up to here */
-  guint64 call;        /* in progress, 0: none */
+  guint64 sent_upto[PEERS]; /* rows sent to each, by version */
+  guint64 call;             /* call in progress; 0: none */
   gint64 call_until;
-  gboolean doubtful;
-  /* dispatcher */
+  gboolean uncertain;
+  /* dispatchers only: */
   char *id;
   guint count;
   CcLease lease;
   gboolean draining, drain_written;
   Held *held[SERVERS];
   CcSliceMap *map;
-  /* assigner */
+  /* assigners only: */
   GHashTable *watches, *reports;
   CcPlanner *planner;
   gboolean leaving[SERVERS], listed[SERVERS];
   gint64 list_due;
-  char *writing; /* map in the call in progress, or NULL */
+  char *writing; /* map being written, or NULL */
 } Peer;
 
 typedef struct
@@ -109,7 +109,7 @@
   guint64 epoch, term, id;
   gint64 begun, ends, deadline;
   guint from;
-  guint64 life;
+  guint64 incarnation;
 } Work;
 
 typedef struct
@@ -118,18 +118,18 @@
   gboolean alive, checks, leaving;
   gint64 paused_until, restart_at, skew;
   guint64 term;
-  gint64 lapses;
+  gint64 valid_until;
   guint64 epochs[SLICES];
   GArray *works;
 } Server;
 
-/* What the model knows of a slice. */
+/* The model's state of a slice. */
 typedef struct
 {
-  gint64 ended[SERVERS]; /* last effect at each */
-  guint64 epoch;         /* highest of an effect */
-  gint64 last;           /* any effect */
-} Truth;
+  gint64 last_effect[SERVERS]; /* by server: time of its last effect */
+  guint64 epoch;               /* highest epoch of an effect */
+  gint64 last;                 /* time of the last effect at any server */
+} SliceModel;
 
 typedef struct
 {
@@ -142,9 +142,9 @@
   gint64 down_until, slow_until;
   Peer peers[PEERS];
   Server servers[SERVERS];
-  Truth truth[SLICES];
+  SliceModel model[SLICES];
   guint64 ids;
-  Verdict verdict;
+  RunResult result;
 } World;
 
 gboolean world_chance (World *w, double p);
@@ -156,7 +156,7 @@
 Event *world_begin_call (World *w, Peer *p, EventKind kind);
 guint64 world_version_of (const World *w, const char *key);
 GVariant *world_rows_since (const CcView *v, guint64 since, gboolean leases);
-void world_table_serves (World *w, const Event *e);
+void world_handle_table_request (World *w, const Event *e);
 void world_event_free (gpointer data);
 void world_choose_id (Peer *p);
 void world_held_free (Held *h);
@@ -174,6 +174,6 @@
 void world_on_rows (World *w, Peer *p, const Event *e);
 void world_send_rows (World *w, Peer *p, guint to);
 void world_tick_view (World *w, Peer *p);
-void world_peer_takes (World *w, Peer *p, const Event *e);
+void world_handle_message (World *w, Peer *p, const Event *e);
 
 #endif
--- a/test/test_hotkeys.c
+++ b/test/test_hotkeys.c
@@ -318,8 +318,7 @@
       for (gint64 end = w->now + w->write; w->now < end;)
         world_tick (w);
       if (moving_to (w, "s1") > 0)
-        fail_msg ("case %u: %u units moving to s1", i,
-                  moving_to (w, "s1"));
+        fail_msg ("case %u: %u units moving to s1", i, moving_to (w, "s1"));
       world_run (w, 10);
       assert_int_equal (world_owned (w, "s1"), 0);
       world_free (w);
--- a/test/test_ownership.c
+++ b/test/test_ownership.c
@@ -1,5 +1,6 @@
-/* Seeded schedules of ownership against the model of ownership.c: nothing may
- * be at fault with all safeguards, and each safeguard left out must show. */
+/* Guards against two owners of a slice and against unserved slices, in seeded
+ * schedules checked by the model of ownership.c.  With all safeguards no fault
+ * may occur; without any one of them a fault must be detected. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,28 +16,29 @@
 #include "view.h"
 
 #define SEEDS 300
-#define SEEDS_RED 3000 /* within which a missing safeguard must show */
+#define OMISSION_SEEDS 3000 /* a missing safeguard must show within these */
 
 static guint
-seeds_wanted (guint usual)
+seed_count (guint standard)
 {
   const char *text = g_getenv ("SEEDS");
 
-  return text != NULL ? (guint) atoi (text) : usual;
+  return text != NULL ? (guint) atoi (text) : standard;
 }
 
-/* Processes are paused and lost, messages and writes late or lost, the table is
- * down.  At no server is a key run while another runs it, or in an older epoch,
- * and when the faults end every slice is served again. */
+/* Processes are paused and lost, messages and writes are late or lost, the
+ * table is down.  At no server may a key run while another server runs it, or
+ * in an older epoch, and after the faults end every slice is served again. */
 static void
 test_schedules (void **state)
 {
-  guint faulty = 0, unserved = 0, effects = 0, moves = 0, thawed = 0, taken = 0;
+  guint faulty = 0, unserved = 0, effects = 0, moves = 0, delayed = 0,
+        taken = 0;
 
   (void) state;
-  for (guint seed = 1; seed <= seeds_wanted (SEEDS); seed++)
+  for (guint seed = 1; seed <= seed_count (SEEDS); seed++)
     {
-      Verdict v = ownership_run (seed, OMIT_NOTHING);
+      RunResult v = ownership_run (seed, OMIT_NOTHING);
 
       if (v.faults > 0 && ++faulty <= 5)
         print_message ("# seed %u: %u faults, %s\n", seed, v.faults, v.first);
@@ -44,21 +46,21 @@
         print_message ("# seed %u: %u slices unserved\n", seed, v.unserved);
       effects += v.effects;
       moves += v.moves;
-      thawed += v.thawed;
+      delayed += v.delayed;
       taken += v.takeover;
       g_free (v.first);
     }
   print_message ("# %u seeds, %u faulty, %u unserved; %u effects, %u maps, "
-                 "%u takeovers, %u messages thawed\n",
-                 seeds_wanted (SEEDS), faulty, unserved, effects, moves, taken,
-                 thawed);
+                 "%u takeovers, %u messages delayed\n",
+                 seed_count (SEEDS), faulty, unserved, effects, moves, taken,
+                 delayed);
   assert_int_equal (faulty, 0);
   assert_int_equal (unserved, 0);
-  assert_true (thawed > 0 && taken > 0);
+  assert_true (delayed > 0 && taken > 0);
 }
 
-/* Guards against slices that two assigners pass to and fro after the faults,
- * which shows when moves are short. */
+/* Guards against slices that two assigners move back and forth after the
+ * faults, which shows when moves are short. */
 static void
 test_assigners_that_alternate (void **state)
 {
@@ -67,7 +69,7 @@
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (seeds); i++)
     {
-      Verdict v = ownership_run (seeds[i], OMIT_NOTHING);
+      RunResult v = ownership_run (seeds[i], OMIT_NOTHING);
 
       if (v.faults > 0 || v.unserved > 0)
         fail_msg ("seed %u: %u faults, %u slices unserved", seeds[i], v.faults,
@@ -83,37 +85,37 @@
 } omissions[] = {
   { OMIT_TWO_STEPS, "two steps of a move" },
   { OMIT_SENT_TIME, "renewal counted from its sending" },
-  { OMIT_WATCH_TERM, "waiting for the whole term" },
+  { OMIT_WATCH_TERM, "waiting for the whole lease term" },
   { OMIT_ROW_CHECK, "version check of a takeover" },
   { OMIT_MAP_CHECK, "version check of a map" },
   { OMIT_GRANT_CHECK, "servers' check of grants" },
   { OMIT_GRANT_EXPIRY, "absolute end of a grant" },
   { OMIT_APPLIED, "waiting for what still runs" },
-  { OMIT_QUIET, "waiting for unanswered attempts" },
+  { OMIT_UNANSWERED, "waiting for unanswered attempts" },
   { OMIT_LEASE_CHECK, "lease check before a send" },
 };
 
-/* Each safeguard is left out in turn; a schedule that then goes wrong must be
- * found, or the safeguard, or the model, is not worth having. */
+/* Omits each safeguard in turn: some schedule must then fail, or else the
+ * safeguard is unnecessary or the model does not detect its absence. */
 static void
 test_omissions (void **state)
 {
-  guint green = 0;
+  guint undetected = 0;
 
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (omissions); i++)
     {
-      Verdict v = { 0 };
+      RunResult v = { 0 };
       guint seed = 0;
 
-      while (v.faults == 0 && seed < seeds_wanted (SEEDS_RED))
+      while (v.faults == 0 && seed < seed_count (OMISSION_SEEDS))
         v = ownership_run (++seed, omissions[i].omit);
-      green += v.faults == 0;
+      undetected += v.faults == 0;
       print_message ("# without %s: seed %u, %s\n", omissions[i].name, seed,
                      v.first != NULL ? v.first : "NO FAULT FOUND");
       g_free (v.first);
     }
-  assert_int_equal (green, 0);
+  assert_int_equal (undetected, 0);
 }
 
 static const CcPool pool = { .name = (char *) "p", .slices = 4 };
@@ -140,9 +142,9 @@
 }
 
 /* D2 registers (row 6) and is given server x (row 7).  A peer's message with
- * row 6 is lost, the one with row 7 arrives.  An assigner that takes it sees a
- * holder without a member row, takes it for lost and gives x to D1 at once,
- * while D2 sends. */
+ * row 6 is lost, the one with row 7 arrives.  An assigner that applied it
+ * would see a holder without a member row, consider it lost and give x to D1
+ * at once, while D2 still sends. */
 static void
 test_gap (void **state)
 {
@@ -171,13 +173,13 @@
   g_hash_table_unref (reports);
 }
 
-/* Guards against a second owner: a server that does not check grants freezes
- * just after an answer, with an attempt inside that takes effect when it wakes.
- * That answer must not count as its word that the attempt has ended. */
+/* Guards against a second owner: a server that does not check grants is paused
+ * just after a response, with an attempt inside that takes effect when it
+ * resumes.  That response must not confirm that the attempt has ended. */
 static void
 an_old_answer_ends_no_attempt (void **state)
 {
-  static const gint64 froze = 10 * CC_SECOND, tick = 20 * CC_MS;
+  static const gint64 frozen_at = 10 * CC_SECOND, tick = 20 * CC_MS;
   static const gint64 left[] = { 0,           50 * CC_MS,  100 * CC_MS,
                                  150 * CC_MS, 300 * CC_MS, CC_SECOND };
 
@@ -192,14 +194,15 @@
       cc_slicemap_at (m, 0)->server = 0;
       h = cc_holding_new ("p", cc_slicemap_server (m, 0), FALSE, 0, 0);
       cc_holding_update (h, m, 0, "d1");
-      for (now = 0; now <= froze; now += tick)
+      for (now = 0; now <= frozen_at; now += tick)
         cc_holding_answered (h, now);
       cc_holding_sent (h, 0);
-      cc_holding_done (h, 0, froze + left[i], FALSE);
-      for (now = froze; now < froze + 10 * CC_SECOND; now += tick)
+      cc_holding_done (h, 0, frozen_at + left[i], FALSE);
+      for (now = frozen_at; now < frozen_at + 10 * CC_SECOND; now += tick)
         if (cc_holding_applied (h, now, now) != 0)
-          fail_msg ("deadline after %u ms: said to have stopped after %u ms",
-                    (guint) (left[i] / CC_MS), (guint) ((now - froze) / CC_MS));
+          fail_msg ("deadline after %u ms: reported as stopped after %u ms",
+                    (guint) (left[i] / CC_MS),
+                    (guint) ((now - frozen_at) / CC_MS));
       for (gint64 end = now + CC_SERVER_SETTLE + 2 * tick; now < end;
            now += tick)
         {
@@ -212,17 +215,17 @@
     }
 }
 
-/* Server x freezes and its dispatcher says so; it stands in the platform's list
- * all the while.  Its slices move away once, and it waits in the map to be
- * heard of again: forgotten, it was taken in as a new one and given slices
- * anew, which were unserved until it was found silent again, and so on. */
+/* Server x is unreachable, as its dispatcher reports, but stays in the
+ * platform's list.  Its slices move away once, and it stays in the map until
+ * it responds again: if it were removed, it would be added as new and given
+ * slices, unserved until it is found unreachable again, and so on. */
 static void
 test_lost_server_waits (void **state)
 {
   CcSliceMap *m = cc_slicemap_new ("p", 4);
   GHashTable *reports = g_hash_table_new (g_str_hash, g_str_equal);
   CcServerReport lost = { 0, TRUE, (char *) "d1" };
-  CcServerReport well = { 0, FALSE, (char *) "d1" };
+  CcServerReport reachable = { 0, FALSE, (char *) "d1" };
   CcRoster *r = cc_roster_new ();
 
   (void) state;
@@ -230,10 +233,10 @@
   cc_roster_add_server (r, "x", "a", "z", FALSE);
   cc_roster_add_server (r, "y", "b", "z", FALSE);
   g_hash_table_insert (reports, (char *) "x", &lost);
-  g_hash_table_insert (reports, (char *) "y", &well);
+  g_hash_table_insert (reports, (char *) "y", &reachable);
   for (guint64 i = 1; i <= 20; i++)
     {
-      m->version = lost.applied = well.applied = i;
+      m->version = lost.applied = reachable.applied = i;
       cc_assignment_step (m, &pool, r, reports);
     }
   assert_true (cc_slicemap_find (m, "x") >= 0);
--- a/test/test_slicemap.c
+++ b/test/test_slicemap.c
@@ -1,6 +1,6 @@
 /* Guards against a second owner of a key across moves, splits and folds, which
- * callers would see as a payment made twice.  Maps are applied late or skipped, reports and
- * attempt records are delayed or lost, while units move at random. */
+ * callers would see as a payment made twice.  Maps are applied late or skipped,
+ * reports and attempt records delayed or lost, while units move at random. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/test/world.c
+++ b/test/world.c
@@ -2,8 +2,7 @@
 
 #include <math.h>
 
-#define LOADS_PERIOD CC_SECOND /* less frequent than real reports, for speed   \
-                                */
+#define LOADS_PERIOD CC_SECOND /* longer than in reality, for speed */
 
 /* Returns a pool of SERVERS servers that own all slices evenly, without load.
  */
--- a/unit_loads.c
+++ b/unit_loads.c
@@ -63,7 +63,7 @@
 }
 
 /* Records the report LOADS, a(ud) of unit and load, received at NOW for
- * SERVER. Units that SERVER does not own in M are ignored: the report predates
+ * SERVER.  Units that SERVER does not own in M are ignored: the report predates
  * their move. */
 void
 cc_unit_loads_update (CcUnitLoads *l, const CcSliceMap *m, const char *server,
