--- a/assign.c
+++ b/assign.c
@@ -65,6 +65,7 @@
   g_free (data);
 }
 
+/* The reports on the servers of POOL; an empty table if there are none. */
 static GHashTable *
 reports_of (Assign *a, const char *pool)
 {
@@ -77,6 +78,7 @@
   return table;
 }
 
+/* The planner of POOL, created at its first use. */
 static CcPlanner *
 planner_of (Assign *a, const char *pool)
 {
@@ -89,6 +91,8 @@
   return p;
 }
 
+/* Stores a dispatcher's report on a server and passes its loads to the
+ * planner. */
 static void
 receive_report (Assign *a, const CcMsgReport *r)
 {
@@ -125,6 +129,7 @@
   (void) address, (void) up, (void) data;
 }
 
+/* Prepares the write of M over the version that it was read from. */
 static Write *
 write_new (Assign *a, const CcSliceMap *m)
 {
@@ -149,6 +154,8 @@
   g_free (w);
 }
 
+/* The roster of POOL: dispatchers by their member rows, servers and entries by
+ * the platform's list. */
 static CcRoster *
 roster_of (Assign *a, const CcPool *pool)
 {
@@ -233,6 +240,8 @@
   write_free (w);
 }
 
+/* Writes M, provided that neither its row nor the document has changed since.
+ */
 static void
 write_map (Assign *a, CcSliceMap *m)
 {
@@ -251,6 +260,8 @@
   cc_platform_commit (a->platform, x, on_map_written, w);
 }
 
+/* Runs one planning step for POOL, unless a write is in progress or the view
+ * predates the last one. */
 static void
 plan_pool (Assign *a, const CcPool *pool)
 {
@@ -319,6 +330,8 @@
   cc_platform_instances (a->platform, on_instances, q);
 }
 
+/* Renews the lease, takes over from lost dispatchers, and plans while it may.
+ */
 static gboolean
 on_tick (gpointer data)
 {
@@ -353,6 +366,7 @@
   exit (0);
 }
 
+/* Resigns, and exits 300 ms later so that the release can be written. */
 static gboolean
 on_stop (gpointer data)
 {
@@ -363,6 +377,7 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Ready if the platform responded within the last 2 s. */
 static const char *
 readiness_error (gpointer data)
 {
--- a/assignment.c
+++ b/assignment.c
@@ -7,8 +7,8 @@
  *
  *  - A unit whose server may not own it moves at once.  A leaving server's
  *    units move in batches, so that their new servers are not overloaded.
- *    While table writes are slow, units already moving to a server that starts
- *    to leave are redirected.
+ *    While table writes are slow, units already moving to a server that leaves
+ *    or is lost are redirected.
  *  - A joining server is filled in steps up to its full share
  *    (server_shares.c).
  *  - Otherwise units move only after the imbalance has exceeded a trigger for
@@ -18,8 +18,8 @@
  *    load would.  A unit that has moved is not moved again for a cooldown.
  *
  * The pool's `prefer` setting selects these values.  The move budget follows
- * Slicer (OSDI 2016), the paced draining of a server Shard Manager (SOSP
- * 2021).
+ * Slicer (OSDI 2016), the paced draining of a server follows Shard Manager
+ * (SOSP 2021).
  */
 #include "assignment.h"
 
@@ -42,8 +42,8 @@
 
 /* The measured load of a server varies by 3% (CC_METER_TIME at 30 requests a
  * second), and the largest of 18 by 6%: triggers are well above that and below
- * 1.25, the imbalance that users aim for.  Cooldowns are long compared
- * with CC_METER_TIME, the time to measure a moved unit again.  A hot key is
+ * 1.25, the imbalance that users aim for.  Cooldowns are long compared with
+ * CC_METER_TIME, the time to measure a moved unit again.  A hot key is
  * split out before rebalancing starts, since moving its neighbours instead
  * would use up the budget. */
 static const Policy policies[] = {
@@ -110,6 +110,7 @@
   p->typical_write = typical;
 }
 
+/* Returns the entry of UNIT in TIMES, which grows as needed. */
 static gint64 *
 time_at (GArray *times, guint unit)
 {
@@ -118,6 +119,7 @@
   return &g_array_index (times, gint64, unit);
 }
 
+/* Adds a completed move of SPAN us to the statistics. */
 static void
 record_move (CcPlanner *p, gint64 span)
 {
@@ -157,6 +159,7 @@
             slow, m->pool, longest / CC_MS);
 }
 
+/* Whether any unit of M has an owner. */
 static gboolean
 is_owned (const CcSliceMap *m)
 {
@@ -183,6 +186,7 @@
     }
 }
 
+/* The measured load of all units, in slots kept busy. */
 static double
 total_load (const CcPlanner *p, const CcSliceMap *m)
 {
@@ -217,6 +221,7 @@
     }
 }
 
+/* Whether the server of S serves it: it is live, or leaving. */
 static gboolean
 is_served (const CcSliceMap *m, const CcMapSlice *s)
 {
@@ -246,6 +251,7 @@
   return in_move;
 }
 
+/* Marks servers whose dispatcher cannot confirm that anything has stopped. */
 static void
 mark_unconfirmed (CcBalance *b, const CcSliceMap *m, GHashTable *reports)
 {
@@ -263,6 +269,7 @@
   return 2 * p->typical_write > DRAIN_TIME;
 }
 
+/* Adds the units of M to B, with the restrictions on their moves. */
 static void
 add_units (CcBalance *b, CcPlanner *p, const CcSliceMap *m,
            const GByteArray *in_move, const Policy *y, gint64 now)
@@ -287,6 +294,8 @@
     }
 }
 
+/* Fills servers that are warming up, by at most LIMIT moves.  Returns the
+ * number of moves. */
 static guint
 fill_joining (CcBalance *b, const CcPlanner *p, const CcSliceMap *m,
               guint limit, gint64 now)
@@ -303,6 +312,7 @@
   return n;
 }
 
+/* Adds the budget regained since the last call, up to its maximum. */
 static void
 renew_budget (CcPlanner *p, const Policy *y, guint units, gint64 now)
 {
@@ -316,6 +326,7 @@
   p->budget_at = now;
 }
 
+/* Whether the imbalance has exceeded the trigger for long enough. */
 static gboolean
 needs_rebalance (CcPlanner *p, const Policy *y, gint64 now)
 {
@@ -329,6 +340,8 @@
   return now - p->above_trigger_since >= y->min_duration;
 }
 
+/* Moves units until the imbalance reaches the goal, within the budget and
+ * LIMIT. */
 static void
 rebalance (CcBalance *b, CcPlanner *p, const Policy *y, guint limit, gint64 now)
 {
@@ -339,6 +352,7 @@
   p->budget -= cc_balance_rebalance (b, y->goal, limit);
 }
 
+/* Applies the chosen moves to M. Returns their number. */
 static guint
 apply_moves (CcPlanner *p, CcSliceMap *m, const CcBalance *b, gint64 now)
 {
@@ -416,6 +430,7 @@
   return cc_balance_place (b, MAX (due, most - MIN (moving, most)));
 }
 
+/* Fills joining servers and then rebalances, by at most LIMIT moves. */
 static void
 balance_loads (CcBalance *b, CcPlanner *p, const CcSliceMap *m, const Policy *y,
                guint limit, gint64 now)
--- a/balance.c
+++ b/balance.c
@@ -59,6 +59,7 @@
   return &g_array_index (b->units, CcBalanceUnit, i);
 }
 
+/* Whether SERVER may get units. */
 static gboolean
 is_eligible (const CcBalance *b, gint32 server)
 {
@@ -179,6 +180,7 @@
   gboolean urgent;
 } Unassigned;
 
+/* Orders urgent units first, then heavier ones. */
 static gint
 compare_unassigned (gconstpointer a, gconstpointer b)
 {
@@ -191,6 +193,7 @@
   return x->unit < y->unit ? -1 : 1;
 }
 
+/* Whether U needs another server and may move. */
 static gboolean
 is_unassigned (const CcBalance *b, const CcBalanceUnit *u)
 {
@@ -292,6 +295,7 @@
   return fit >= 0 ? fit : over;
 }
 
+/* Moves one unit across gap G. Returns FALSE if none fits. */
 static gboolean
 move_between (CcBalance *b, gint32 from, gint32 to, LoadGap g)
 {
--- a/hot_units.c
+++ b/hot_units.c
@@ -68,6 +68,7 @@
   return NULL;
 }
 
+/* Drops candidates without a report for CANDIDATE_TTL. */
 static void
 drop_expired (CcHotUnits *h, gint64 now)
 {
@@ -110,6 +111,7 @@
   return b->shares > 0 ? b->total / b->shares : 0;
 }
 
+/* SERVER's load relative to its target. */
 static double
 server_load (const CcBalance *b, gint32 server)
 {
@@ -138,6 +140,7 @@
          server_load (b, s->server) > y->trigger;
 }
 
+/* The candidate with the highest load that should be split, or NULL. */
 static const Candidate *
 hottest_to_split (const CcHotUnits *h, const CcSliceMap *m, const CcBalance *b,
                   const CcHotPolicy *y, gint64 now)
@@ -155,6 +158,8 @@
   return best;
 }
 
+/* The server for C: the least loaded one if C leaves it below the load of the
+ * present one, else the present one. */
 static gint32
 choose_server (const Candidate *c, const CcSliceMap *m, const CcBalance *b)
 {
@@ -192,6 +197,8 @@
   return unit;
 }
 
+/* Whether UNIT has been cool for long enough.  Updates since when it is cool.
+ */
 static gboolean
 has_cooled (CcHotUnits *h, const CcSliceMap *m, guint unit, double load,
             const CcBalance *b, const CcHotPolicy *y, gint64 now)
--- a/leader.c
+++ b/leader.c
@@ -1,6 +1,6 @@
 /* The lease of the active assigner.
  *
- * It is an optimisation, not a safeguard: every write of the assigner is
+ * Electing a single one is an optimisation, not a safeguard: every write is
  * checked against the version that it was computed from, and a takeover
  * against the writer's own watch of the lease.  Two active assigners only
  * cause write conflicts.
@@ -15,7 +15,7 @@
 #define ROW "lease/assign"
 #define ACTIVE_ROW "assign/active"
 
-/* Others check every 50 ms a view that is at most 200 ms old. */
+/* Other candidates check every 50 ms a view that is at most 200 ms old. */
 #define RESIGN_HOLD (3 * CC_SECOND)
 #define UNCERTAIN_TIME (300 * CC_MS) /* a poll shows the write by then */
 
@@ -51,6 +51,7 @@
   return cc_leader_is_active (l, now) || (l->owns_row && now >= l->hold_until);
 }
 
+/* The content of the lease row at SEQUENCE. */
 static char *
 value_of (const CcLeader *l, guint64 sequence)
 {
@@ -94,6 +95,8 @@
   l->uncertain_until = 0;
 }
 
+/* Renews the lease or, if FIRST, takes it and publishes this process as
+ * active. */
 static void
 write_row (CcLeader *l, gint64 now, gboolean first)
 {
@@ -109,6 +112,7 @@
   cc_platform_commit (l->platform, x, on_written, l);
 }
 
+/* Logs when the process becomes active or stops being so. */
 static void
 log_change (CcLeader *l, gboolean active)
 {
--- a/leader.h
+++ b/leader.h
@@ -16,7 +16,7 @@
                              the view to show it, us; 0: known */
   gint64 hold_until;      /* resigned: takes no lease before then, us */
   gboolean owns_row;      /* the row in the view is this process's */
-  gboolean calling;
+  gboolean calling;       /* a write is in progress */
   gboolean logged_active;
   CcPlatform *platform;
 } CcLeader;
--- a/map_change.c
+++ b/map_change.c
@@ -29,6 +29,7 @@
   t->count++;
 }
 
+/* Appends T's names and TEXT to INTO, and frees the names. */
 static void
 tally_print (Tally *t, const char *text, GString *into)
 {
--- a/ownership_moves.c
+++ b/ownership_moves.c
@@ -29,6 +29,7 @@
 /* An epoch one above the last would count as a continuation. */
 #define EPOCH_GAP 2
 
+/* The last report on S if DISPATCHER sent it, else NULL. */
 static const CcServerReport *
 report_of (GHashTable *reports, const CcMapServer *s, const char *dispatcher)
 {
@@ -79,6 +80,7 @@
   return changes;
 }
 
+/* The number of servers that dispatcher ID holds. */
 static guint
 servers_held (const CcSliceMap *m, const char *id)
 {
--- a/server_shares.c
+++ b/server_shares.c
@@ -52,6 +52,7 @@
   g_free (t);
 }
 
+/* Counts a loss, from 1 if the previous one is older than CC_FLAP_WINDOW. */
 static void
 record_loss (ServerHistory *s, gint64 now)
 {
@@ -61,6 +62,7 @@
   s->last_loss = now;
 }
 
+/* How long a server gets no units after LOSSES recent losses, us. */
 static gint64
 hold_time (guint losses)
 {
--- a/slicemap.c
+++ b/slicemap.c
@@ -362,6 +362,7 @@
   return n;
 }
 
+/* Whether a unit belongs to SERVER or is moving away from it. */
 static gboolean
 is_referenced (const CcSliceMap *m, gint32 server)
 {
@@ -372,6 +373,7 @@
   return FALSE;
 }
 
+/* Removes SERVER and adjusts the indices of the servers after it. */
 static void
 remove_server (CcSliceMap *m, gint32 server)
 {
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -222,7 +222,7 @@
   world_free (w);
 }
 
-/* A server that is silent but still listed keeps its place in the map.
+/* A server that is unreachable but still listed keeps its place in the map.
  * Treated as new at each step, it would be given slices, lose them a second
  * later, and restart its term at 1. */
 static void
--- a/unit_loads.c
+++ b/unit_loads.c
@@ -45,6 +45,7 @@
   return &g_array_index (l->units, UnitLoad, unit);
 }
 
+/* Decays U up to NOW. */
 static void
 decay (UnitLoad *u, gint64 now)
 {
--- a/unit_meter.c
+++ b/unit_meter.c
@@ -56,6 +56,7 @@
   g_free (m);
 }
 
+/* The factor by which counts decay from SINCE to NOW. */
 static double
 decay_of (gint64 since, gint64 now)
 {
@@ -129,6 +130,8 @@
   return (1 - decay_of (u->first, now)) * CC_METER_TIME / CC_SECOND;
 }
 
+/* The mean service time of U in seconds; until one is known that of ALL, or
+ * the default. */
 static double
 mean_service (const UnitMeter *u, const UnitMeter *all)
 {
@@ -166,6 +169,7 @@
   return g_variant_builder_end (&b);
 }
 
+/* Orders keys by guaranteed count, highest first. */
 static gint
 by_guaranteed_count (gconstpointer a, gconstpointer b)
 {
