--- a/admin.c
+++ b/admin.c
@@ -120,7 +120,7 @@
   cc_address_parse (address, &ip, &port);
   at = g_inet_socket_address_new_from_string (ip, port);
   if (g_object_get_data (G_OBJECT (server), FOR_CALLERS_KEY) != NULL)
-    cc_caller_targets_keep (server, port);
+    cc_caller_targets_record (server, port);
   s = listen_socket (at, &error);
   if (s != NULL && soup_server_listen_socket (server, s, 0, &error))
     return TRUE;
--- a/caller_connection.c
+++ b/caller_connection.c
@@ -263,7 +263,7 @@
 /* Has SERVER keep the targets of requests that come to PORT as they were
  * written.  Other connections of this process are read as before. */
 void
-cc_caller_targets_keep (SoupServer *server, guint port)
+cc_caller_targets_record (SoupServer *server, guint port)
 {
   if (listening == NULL)
     {
--- a/caller_connection.h
+++ b/caller_connection.h
@@ -4,7 +4,7 @@
 
 #include <libsoup/soup.h>
 
-void cc_caller_targets_keep (SoupServer *server, guint port);
+void cc_caller_targets_record (SoupServer *server, guint port);
 const char *cc_caller_target (SoupServerMessage *m);
 
 #endif
--- a/callers.c
+++ b/callers.c
@@ -111,7 +111,7 @@
 }
 
 static void
-hand_on (CcCallers *c, SoupServerMessage *m, const CcEnd *e)
+hand_on (CcCallers *c, SoupServerMessage *m, const CcExchangeResult *e)
 {
   SoupMessageHeaders *h = soup_server_message_get_response_headers (m);
   SoupMessageBody *body = soup_server_message_get_response_body (m);
@@ -132,10 +132,11 @@
  * when that upstream is said to have been sent to for too long; so its lines
  * are not left out with those of what went well. */
 static void
-log_end (const Request *r, const CcEnd *e, gint64 took)
+log_end (const Request *r, const CcExchangeResult *e, gint64 took)
 {
   static const char *const kinds[] = { "answered", "not-run", "unknown" };
-  gboolean well = e->kind == CC_END_ANSWER && e->status < 500 && e->leaving < 0;
+  gboolean well =
+      e->kind == CC_EXCHANGE_ANSWERED && e->status < 500 && e->leaving < 0;
   CcEventKind kind = well ? CC_EVENT_SERVED : CC_EVENT_FAILED;
 
   if (!cc_event_may (kind))
@@ -156,7 +157,8 @@
 /* Counts R, which ended as END after TOOK us; E says how, NULL if its caller
  * left before. */
 static void
-count (const Request *r, CcCountedEnd end, const CcEnd *e, gint64 took)
+count (const Request *r, CcCountedEnd end, const CcExchangeResult *e,
+       gint64 took)
 {
   CcRequestRecord record = {
     .end = end, .cause = "", .took = took, .leaving = -1
@@ -175,7 +177,7 @@
 }
 
 static void
-on_end (const CcEnd *e, gpointer data)
+on_end (const CcExchangeResult *e, gpointer data)
 {
   Request *r = data;
   CcCallers *c = r->callers;
@@ -186,16 +188,16 @@
   log_end (r, e, took);
   switch (e->kind)
     {
-    case CC_END_ANSWER:
+    case CC_EXCHANGE_ANSWERED:
       count (r, CC_COUNT_ANSWERED, e, took);
       hand_on (c, r->message, e);
       break;
-    case CC_END_NOT_RUN:
+    case CC_EXCHANGE_NOT_RUN:
       count (r, CC_COUNT_NOT_RUN, e, took);
       answer (c, r->message, SOUP_STATUS_SERVICE_UNAVAILABLE, e->reason,
               e->retry_after);
       break;
-    case CC_END_UNKNOWN:
+    case CC_EXCHANGE_UNKNOWN:
       count (r, CC_COUNT_UNKNOWN, e, took);
       answer (c, r->message,
               g_str_equal (e->reason, "deadline") ? SOUP_STATUS_GATEWAY_TIMEOUT
@@ -272,14 +274,14 @@
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
   Request *r = g_new0 (Request, 1);
-  CcExchangeStart start = { .route = route,
-                            .pool = pool,
-                            .keyed = described != NULL && described->keyed,
-                            .caller = &r->caller,
-                            .method = soup_server_message_get_method (m),
-                            .path = path,
-                            .headers = headers,
-                            .body = body };
+  CcExchangeRequest start = { .route = route,
+                              .pool = pool,
+                              .keyed = described != NULL && described->keyed,
+                              .caller = &r->caller,
+                              .method = soup_server_message_get_method (m),
+                              .path = path,
+                              .headers = headers,
+                              .body = body };
 
   r->callers = c;
   r->message = g_object_ref (m);
@@ -365,8 +367,8 @@
 comes_too_late (const CcCallers *c, const CcRoute *route, const char *pool,
                 const CcCallerInfo *info)
 {
-  gint64 need =
-      MIN (route->timeout, cc_forwarder_longest (c->forwarder, pool, route));
+  gint64 need = MIN (route->timeout,
+                     cc_forwarder_longest_time (c->forwarder, pool, route));
 
   if (info->left >= 0)
     need = MIN (need, info->left);
@@ -459,7 +461,7 @@
 /* While AWAY, each answer ends its connection, so that callers whose balancer
  * knows better go elsewhere. */
 void
-cc_callers_send_away (CcCallers *c, gboolean away)
+cc_callers_set_closing (CcCallers *c, gboolean away)
 {
   c->away = away;
 }
--- a/exchange.c
+++ b/exchange.c
@@ -49,7 +49,7 @@
 }
 
 static void
-end_with (CcExchange *e, CcEnd *end)
+end_with (CcExchange *e, CcExchangeResult *end)
 {
   CcExchangeDone done = e->done;
   gpointer data = e->data;
@@ -87,7 +87,7 @@
 static void
 cc_exchange_end_unknown (CcExchange *e, const char *reason)
 {
-  CcEnd end = { .kind = CC_END_UNKNOWN, .reason = reason };
+  CcExchangeResult end = { .kind = CC_EXCHANGE_UNKNOWN, .reason = reason };
 
   end_with (e, &end);
 }
@@ -101,7 +101,7 @@
 {
   gint64 now = cc_clock_now ();
   gint64 wait = cc_backlog_wait (&e->pool->backlog, e->entry.priority, now);
-  CcEnd end = { .kind = CC_END_NOT_RUN, .reason = reason };
+  CcExchangeResult end = { .kind = CC_EXCHANGE_NOT_RUN, .reason = reason };
 
   if (e->may_have_run)
     {
@@ -276,7 +276,7 @@
 static void
 take_answer (CcExchange *e, const CcHttpResult *r)
 {
-  CcEnd end = { .kind = CC_END_ANSWER, .reason = "" };
+  CcExchangeResult end = { .kind = CC_EXCHANGE_ANSWERED, .reason = "" };
 
   /* An idempotent request that the server failed may succeed elsewhere; at the
    * deadline there is no time for that. */
@@ -368,7 +368,7 @@
           NULL);
       retry_unknown (e, r->why);
       break;
-    case CC_HTTP_LATE:
+    case CC_HTTP_TIMED_OUT:
       release_target (e, CC_PICK_GIVEN_UP, NULL);
       cc_exchange_end_unknown (e, "deadline");
       break;
--- a/exchange_state.h
+++ b/exchange_state.h
@@ -51,7 +51,7 @@
   CcHttpCall *call;
   gint64 sent;           /* us */
   gint64 served;         /* time at upstreams, in attempts that ended, us */
-  gint64 leaving;        /* at the last attempt, see CcEnd */
+  gint64 leaving;        /* at the last attempt, see CcExchangeResult */
   double work_share;     /* part of its time at the upstream that is work */
   char *kind;            /* of its work */
   CcTypicalWork typical; /* time that this takes, as of the last look */
--- a/forward.c
+++ b/forward.c
@@ -60,14 +60,15 @@
 
 /* Tells how many ENTRIES the fleet has, which share the retry budget. */
 void
-cc_forwarder_entries (CcForwarder *f, guint entries)
+cc_forwarder_set_entries (CcForwarder *f, guint entries)
 {
   f->entries = MAX (entries, 1);
 }
 
 /* An upstream of POOL accepts CONNECTIONS from the whole fleet. */
 void
-cc_forwarder_bound (CcForwarder *f, const char *pool, guint connections)
+cc_forwarder_limit_connections (CcForwarder *f, const char *pool,
+                                guint connections)
 {
   find_pool (f, pool)->connections_max =
       connections == 0 ? 0 : MAX (connections / f->entries, 2);
@@ -83,21 +84,22 @@
 /* How long hardly any request on ROUTE takes at POOL, us; G_MAXINT64: nothing
  * is known. */
 gint64
-cc_forwarder_longest (CcForwarder *f, const char *pool, const CcRoute *route)
+cc_forwarder_longest_time (CcForwarder *f, const char *pool,
+                           const CcRoute *route)
 {
   return cc_work_times_longest (&find_pool (f, pool)->times, route->name);
 }
 
 /* Writes what is known of each pool to the metrics. */
 void
-cc_forwarder_gauges (const CcForwarder *f)
+cc_forwarder_write_gauges (const CcForwarder *f)
 {
   GHashTableIter i;
   gpointer value;
 
   g_hash_table_iter_init (&i, f->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    cc_forward_pool_gauges (value);
+    cc_forward_pool_write_gauges (value);
 }
 
 /* Returns FALSE if E was ended: nothing could be opened to T. */
@@ -108,15 +110,15 @@
   gint64 left = cc_exchange_left (e, now);
   g_autoptr (GString) head = g_string_new (NULL);
   gboolean fresh = g_ptr_array_find (e->tried, t, NULL);
-  CcHttpOrder o = { .address = t->listing.address,
-                    .body = e->body,
-                    .bodiless = g_str_equal (e->method, "HEAD"),
-                    .echo = cc_edge_echo (),
-                    .echo_value = e->caller.id,
-                    .connect_within = CONNECT_WITHIN,
-                    .answer_within = left + ANSWER_GRACE,
-                    .idle_max = e->idempotent ? IDLE_IDEMPOTENT : IDLE_ONCE,
-                    .connections_max = e->pool->connections_max };
+  CcHttpRequest o = { .address = t->listing.address,
+                      .body = e->body,
+                      .bodiless = g_str_equal (e->method, "HEAD"),
+                      .echo = cc_edge_echo (),
+                      .echo_value = e->caller.id,
+                      .connect_timeout = CONNECT_WITHIN,
+                      .answer_timeout = left + ANSWER_GRACE,
+                      .idle_max = e->idempotent ? IDLE_IDEMPOTENT : IDLE_ONCE,
+                      .connections_max = e->pool->connections_max };
 
   if (fresh)
     o.idle_max = 0;
@@ -327,7 +329,7 @@
 }
 
 static CcExchange *
-exchange_new (CcForwarder *f, const CcExchangeStart *s, CcExchangeDone done,
+exchange_new (CcForwarder *f, const CcExchangeRequest *s, CcExchangeDone done,
               gpointer data)
 {
   CcExchange *e = g_new0 (CcExchange, 1);
@@ -378,7 +380,7 @@
 /* Takes a request in.  DONE is called from the main loop or before this
  * returns; it returns NULL in that case. */
 CcExchange *
-cc_exchange_begin (CcForwarder *f, const CcExchangeStart *s,
+cc_exchange_begin (CcForwarder *f, const CcExchangeRequest *s,
                    CcExchangeDone done, gpointer data)
 {
   CcExchange *e = exchange_new (f, s, done, data);
--- a/forward.h
+++ b/forward.h
@@ -12,14 +12,14 @@
 /* What became of a request. */
 typedef enum
 {
-  CC_END_ANSWER,  /* a server's answer is to be handed on */
-  CC_END_NOT_RUN, /* no server ran it, and none will */
-  CC_END_UNKNOWN  /* it may have run */
-} CcEndKind;
+  CC_EXCHANGE_ANSWERED, /* a server's answer is to be handed on */
+  CC_EXCHANGE_NOT_RUN,  /* no server ran it, and none will */
+  CC_EXCHANGE_UNKNOWN   /* it may have run */
+} CcExchangeOutcome;
 
 typedef struct
 {
-  CcEndKind kind;
+  CcExchangeOutcome kind;
   const char *reason; /* one word */
   guint status;       /* of an answer */
   GVariant *headers;  /* of an answer, packed */
@@ -35,10 +35,10 @@
                          was sent */
   gint64 expected;    /* time for an answer from the target considered, us */
   double inside;      /* requests inside it, by estimate */
-} CcEnd;
+} CcExchangeResult;
 
 /* Called once; E is valid during the call. */
-typedef void (*CcExchangeDone) (const CcEnd *e, gpointer data);
+typedef void (*CcExchangeDone) (const CcExchangeResult *e, gpointer data);
 
 /* A request; everything is copied. */
 typedef struct
@@ -51,7 +51,7 @@
   const char *path;    /* with its query, as the caller sent it */
   const char *headers; /* those to pass on, each line with CRLF */
   GBytes *body;
-} CcExchangeStart;
+} CcExchangeRequest;
 
 typedef struct
 {
@@ -63,16 +63,17 @@
 } CcForwarderSetup;
 
 CcForwarder *cc_forwarder_new (const CcForwarderSetup *setup);
-void cc_forwarder_entries (CcForwarder *f, guint entries);
+void cc_forwarder_set_entries (CcForwarder *f, guint entries);
 void cc_forwarder_ranges_changed (CcForwarder *f, const CcView *state,
                                   const GPtrArray *rows);
 void cc_forwarder_pump (CcForwarder *f);
-void cc_forwarder_bound (CcForwarder *f, const char *pool, guint connections);
+void cc_forwarder_limit_connections (CcForwarder *f, const char *pool,
+                                     guint connections);
 guint cc_forwarder_pending (const CcForwarder *f);
-gint64 cc_forwarder_longest (CcForwarder *f, const char *pool,
-                             const CcRoute *route);
-void cc_forwarder_gauges (const CcForwarder *f);
-CcExchange *cc_exchange_begin (CcForwarder *f, const CcExchangeStart *s,
+gint64 cc_forwarder_longest_time (CcForwarder *f, const char *pool,
+                                  const CcRoute *route);
+void cc_forwarder_write_gauges (const CcForwarder *f);
+CcExchange *cc_exchange_begin (CcForwarder *f, const CcExchangeRequest *s,
                                CcExchangeDone done, gpointer data);
 void cc_exchange_cancel (CcExchange *e);
 
--- a/forward_pool.c
+++ b/forward_pool.c
@@ -44,7 +44,7 @@
 
 /* Writes what P is like now to the metrics. */
 void
-cc_forward_pool_gauges (const CcForwardPool *p)
+cc_forward_pool_write_gauges (const CcForwardPool *p)
 {
   g_autofree char *label = g_strdup_printf ("pool=\"%s\"", p->name);
   guint owned = 0, moving = 0;
--- a/forward_pool.h
+++ b/forward_pool.h
@@ -23,6 +23,6 @@
 void cc_forward_pool_free (gpointer pool);
 CcTypicalWork cc_forward_pool_typical (const CcForwardPool *p, const char *kind,
                                        gint64 now);
-void cc_forward_pool_gauges (const CcForwardPool *p);
+void cc_forward_pool_write_gauges (const CcForwardPool *p);
 
 #endif
--- a/gateway.c
+++ b/gateway.c
@@ -91,8 +91,8 @@
     return;
   g_hash_table_iter_init (&i, routes->pools);
   while (g_hash_table_iter_next (&i, NULL, &value))
-    cc_forwarder_bound (g->forwarder, ((CcRoutePool *) value)->name,
-                        ((CcRoutePool *) value)->connections_max);
+    cc_forwarder_limit_connections (g->forwarder, ((CcRoutePool *) value)->name,
+                                    ((CcRoutePool *) value)->connections_max);
 }
 
 /* How long ago ROW was written at most, us; -1: not known. */
@@ -187,7 +187,7 @@
   if (t->state == CC_TARGET_READY)
     return;
   note_departure (age);
-  cc_http_forget (g->http, t->listing.address);
+  cc_http_close_idle (g->http, t->listing.address);
 }
 
 static void
@@ -246,8 +246,8 @@
   cc_granter_rank (g->granter, cc_members_rank (g->members), count);
   if (role.distance == 0)
     cc_granter_named (g->granter);
-  cc_forwarder_entries (g->forwarder, count);
-  cc_load_reporter_relay (g->reporter, cc_members_is_relay (g->members));
+  cc_forwarder_set_entries (g->forwarder, count);
+  cc_load_reporter_set_relay (g->reporter, cc_members_is_relay (g->members));
   bound_connections (g);
   cc_mirror_role (g->mirror, &role);
 }
@@ -372,7 +372,7 @@
     cc_event (CC_EVENT_STATE, "isolation", "cut_off", cut_off ? "yes" : "no",
               "silence_ms", cc_event_int ((now - heard_at) / CC_MS), NULL);
   g->cut_off = cut_off;
-  cc_callers_send_away (g->callers, cut_off);
+  cc_callers_set_closing (g->callers, cut_off);
 }
 
 static const char *
@@ -434,10 +434,11 @@
   cc_metrics_gauge ("capercrank_requests_pending", "",
                     cc_callers_pending (g->callers));
   cc_metrics_gauge ("capercrank_upstream_connections", "",
-                    cc_http_open (g->http) + cc_http_open (g->grants_http));
-  cc_metrics_gauge (
-      "capercrank_upstream_connections_opened", "",
-      (double) (cc_http_opened (g->http) + cc_http_opened (g->grants_http)));
+                    cc_http_open_connections (g->http) +
+                        cc_http_open_connections (g->grants_http));
+  cc_metrics_gauge ("capercrank_upstream_connections_opened", "",
+                    (double) (cc_http_connections_opened (g->http) +
+                              cc_http_connections_opened (g->grants_http)));
   cc_metrics_gauge ("capercrank_table_age_seconds", "",
                     (double) cc_mirror_age (g->mirror, now) / 1e6);
   cc_metrics_gauge ("capercrank_members", "", cc_members_count (g->members));
@@ -452,7 +453,7 @@
     }
   if (resident > 0)
     cc_metrics_gauge ("capercrank_resident_bytes", "", (double) resident);
-  cc_forwarder_gauges (g->forwarder);
+  cc_forwarder_write_gauges (g->forwarder);
 }
 
 static void
--- a/http_link.c
+++ b/http_link.c
@@ -21,13 +21,13 @@
 struct CcHttpCall
 {
   CcHttpConnection *connection;
-  GByteArray *out;     /* the request */
-  gsize written;       /* bytes of it */
-  gsize received;      /* bytes of the answer */
-  CcTimer timer;       /* connecting, then the whole answer */
-  gint64 answer_by;    /* us of cc_clock_now */
-  gint64 stall_within; /* see CcHttpOrder */
-  gint64 end_by;       /* however the answer goes on, us of cc_clock_now */
+  GByteArray *out;      /* the request */
+  gsize written;        /* bytes of it */
+  gsize received;       /* bytes of the answer */
+  CcTimer timer;        /* connecting, then the whole answer */
+  gint64 answer_by;     /* us of cc_clock_now */
+  gint64 stall_timeout; /* see CcHttpRequest */
+  gint64 end_by;        /* however the answer goes on, us of cc_clock_now */
   gboolean bodiless;
   gboolean lasting; /* it asked for an old connection */
   char *echo;
@@ -69,7 +69,7 @@
 }
 
 static void
-finish (CcHttpCall *call, CcHttpEnd end, const char *why)
+finish (CcHttpCall *call, CcHttpOutcome end, const char *why)
 {
   CcHttpConnection *c = call->connection;
   CcHttpResult r = { .end = end,
@@ -93,7 +93,7 @@
   else
     {
       c->tainted = TRUE;
-      cc_http_connection_drop_unsent (c);
+      cc_http_connection_reset_on_close (c);
       if (c->used && !call->lasting)
         cc_http_peer_close_idle (c->peer);
     }
@@ -120,7 +120,7 @@
 {
   gint64 now = cc_clock_now ();
   gint64 by =
-      MAX (call->answer_by, MIN (now + call->stall_within, call->end_by));
+      MAX (call->answer_by, MIN (now + call->stall_timeout, call->end_by));
 
   cc_timer_start (&call->timer, by - now, on_time, call);
 }
@@ -130,7 +130,7 @@
 static gboolean
 has_unread_answer (const CcHttpCall *call)
 {
-  return call->written > 0 && call->stall_within > 0 &&
+  return call->written > 0 && call->stall_timeout > 0 &&
          cc_clock_now () < call->end_by &&
          g_socket_condition_check (call->connection->socket, G_IO_IN) != 0;
 }
@@ -139,7 +139,7 @@
 give_up (CcHttpCall *call)
 {
   if (call->written > 0)
-    finish (call, CC_HTTP_LATE, "late");
+    finish (call, CC_HTTP_TIMED_OUT, "late");
   else
     finish (call, CC_HTTP_UNSENT, "connect-timeout");
 }
@@ -301,7 +301,7 @@
       fail (call, "not-http");
       return FALSE;
     }
-  if (call->stall_within > 0)
+  if (call->stall_timeout > 0)
     extend_time (call);
   return TRUE;
 }
@@ -441,7 +441,7 @@
 }
 
 static CcHttpCall *
-call_new (const CcHttpOrder *o, CcHttpDone done, gpointer data)
+call_new (const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   CcHttpCall *call = g_new0 (CcHttpCall, 1);
   gsize size = 0;
@@ -467,9 +467,9 @@
   call->lasting = o->connected_by > 0;
   call->echo = g_strdup (o->echo);
   call->echo_value = g_strdup (o->echo_value);
-  call->answer_by = cc_clock_now () + o->answer_within;
-  call->stall_within = o->stall_within;
-  call->end_by = call->answer_by + o->extend_most;
+  call->answer_by = cc_clock_now () + o->answer_timeout;
+  call->stall_timeout = o->stall_timeout;
+  call->end_by = call->answer_by + o->extend_max;
   call->name = g_string_new (NULL);
   call->value = g_string_new (NULL);
   call->headers = g_string_new (NULL);
@@ -481,7 +481,7 @@
 
 /* The connection to P for O, or NULL. */
 static CcHttpConnection *
-take_connection (CcHttp *h, CcHttpPeer *p, const CcHttpOrder *o)
+take_connection (CcHttp *h, CcHttpPeer *p, const CcHttpRequest *o)
 {
   CcHttpConnection *c;
 
@@ -500,9 +500,9 @@
  * cancelled before.  Returns NULL, and DONE is not called, if there is no such
  * connection as O asks for: nothing was sent then. */
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
-  CcHttpPeer *p = cc_http_peer (h, o->address);
+  CcHttpPeer *p = cc_http_find_peer (h, o->address);
   CcHttpConnection *c;
   CcHttpCall *call;
 
@@ -525,12 +525,12 @@
     {
       /* The first write is left to the main loop, so that DONE is never called
        * before this returns. */
-      cc_timer_start (&call->timer, o->answer_within, on_time, call);
+      cc_timer_start (&call->timer, o->answer_timeout, on_time, call);
       cc_fd_watch_want (&c->watch, G_IO_IN | G_IO_OUT);
     }
   else
     {
-      cc_timer_start (&call->timer, MIN (o->connect_within, o->answer_within),
+      cc_timer_start (&call->timer, MIN (o->connect_timeout, o->answer_timeout),
                       on_time, call);
     }
   return call;
@@ -542,7 +542,7 @@
 cc_http_cancel (CcHttpCall *c)
 {
   c->connection->tainted = TRUE;
-  cc_http_connection_drop_unsent (c->connection);
+  cc_http_connection_reset_on_close (c->connection);
   retire (c->connection);
   call_free (c);
 }
--- a/http_link.h
+++ b/http_link.h
@@ -17,8 +17,8 @@
   CC_HTTP_ANSWERED, /* a whole answer came */
   CC_HTTP_UNSENT,   /* no byte of the request left: it has not run */
   CC_HTTP_LOST,     /* sent, then the connection failed or sent nonsense */
-  CC_HTTP_LATE      /* sent, no whole answer within the time allowed */
-} CcHttpEnd;
+  CC_HTTP_TIMED_OUT /* sent, no whole answer within the time allowed */
+} CcHttpOutcome;
 
 /* What is to be sent; everything is copied. */
 typedef struct
@@ -30,22 +30,22 @@
   gboolean bodiless;   /* the answer to this method has no body (HEAD) */
   const char *echo;    /* header that bears ECHO_VALUE in the answer; NULL */
   const char *echo_value;
-  gint64 connect_within; /* us until a new connection must stand */
-  gint64 answer_within;  /* us until the whole answer must be here ... */
-  gint64 stall_within;   /* ... unless it goes on arriving, with no pause longer
-                            than this, us; 0: no exception */
-  gint64 extend_most;    /* ... and for so much longer in all, us */
-  gint64 idle_max;       /* reuse a connection idle no longer, us; 0: new one */
+  gint64 connect_timeout; /* us until a new connection must stand */
+  gint64 answer_timeout;  /* us until the whole answer must be here ... */
+  gint64 stall_timeout; /* ... unless it goes on arriving, with no pause longer
+                          than this, us; 0: no exception */
+  gint64 extend_max;    /* ... and for so much longer in all, us */
+  gint64 idle_max;      /* reuse a connection idle no longer, us; 0: new one */
   gint64 connected_by; /* use only a kept one that was open at this time, us, so
                           that the peer is the process that it was then; 0: any
                         */
   gboolean closes;     /* the peer is told that nothing follows on it */
   guint connections_max; /* open connections to this address; 0: no bound */
-} CcHttpOrder;
+} CcHttpRequest;
 
 typedef struct
 {
-  CcHttpEnd end;
+  CcHttpOutcome end;
   const char *why;     /* of an end without answer, one word */
   gboolean reused;     /* it went out on a kept connection */
   gint64 connected_at; /* when its connection was opened, us; 0: it was not */
@@ -60,12 +60,12 @@
 
 CcHttp *cc_http_new (const char *local_ip);
 void cc_http_free (CcHttp *h);
-CcHttpCall *cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done,
+CcHttpCall *cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done,
                           gpointer data);
 void cc_http_cancel (CcHttpCall *c);
-void cc_http_forget (CcHttp *h, const char *address);
-guint cc_http_open (const CcHttp *h);
-guint64 cc_http_opened (const CcHttp *h);
+void cc_http_close_idle (CcHttp *h, const char *address);
+guint cc_http_open_connections (const CcHttp *h);
+guint64 cc_http_connections_opened (const CcHttp *h);
 const char *cc_http_header (const CcHttpResult *r, const char *name);
 
 #endif
--- a/http_pool.c
+++ b/http_pool.c
@@ -45,7 +45,7 @@
  * arrives and is honoured, or work begins whose caller was told that it failed.
  * A reset drops what has not been delivered. */
 void
-cc_http_connection_drop_unsent (CcHttpConnection *c)
+cc_http_connection_reset_on_close (CcHttpConnection *c)
 {
   const struct linger at_once = { .l_onoff = 1, .l_linger = 0 };
 
@@ -127,7 +127,7 @@
 
 /* The connections to ADDRESS (IP:PORT); NULL: it can't be read. */
 CcHttpPeer *
-cc_http_peer (CcHttp *h, const char *address)
+cc_http_find_peer (CcHttp *h, const char *address)
 {
   CcHttpPeer *p = g_hash_table_lookup (h->peers, address);
   g_autofree char *ip = NULL;
@@ -236,7 +236,7 @@
 
 /* Closes the idle connections to ADDRESS. */
 void
-cc_http_forget (CcHttp *h, const char *address)
+cc_http_close_idle (CcHttp *h, const char *address)
 {
   CcHttpPeer *p = g_hash_table_lookup (h->peers, address);
 
@@ -246,14 +246,14 @@
 
 /* Connections that are open now. */
 guint
-cc_http_open (const CcHttp *h)
+cc_http_open_connections (const CcHttp *h)
 {
   return h->open;
 }
 
 /* Connections that were opened since the start. */
 guint64
-cc_http_opened (const CcHttp *h)
+cc_http_connections_opened (const CcHttp *h)
 {
   return h->opened;
 }
--- a/http_state.h
+++ b/http_state.h
@@ -46,7 +46,7 @@
 /* C, which is DATA, can be read or written, or has failed: SEEN. */
 typedef void (*CcHttpReady) (GIOCondition seen, gpointer data);
 
-CcHttpPeer *cc_http_peer (CcHttp *h, const char *address);
+CcHttpPeer *cc_http_find_peer (CcHttp *h, const char *address);
 CcHttpConnection *cc_http_connection_take_idle (CcHttpPeer *p, gint64 idle_max);
 CcHttpConnection *cc_http_connection_take_older (CcHttpPeer *p, gint64 idle_max,
                                                  gint64 opened_by);
@@ -54,7 +54,7 @@
                                            CcHttpReady ready);
 void cc_http_connection_keep (CcHttpConnection *c);
 void cc_http_connection_close (CcHttpConnection *c);
-void cc_http_connection_drop_unsent (CcHttpConnection *c);
+void cc_http_connection_reset_on_close (CcHttpConnection *c);
 void cc_http_peer_close_idle (CcHttpPeer *p);
 
 #endif
--- a/load.c
+++ b/load.c
@@ -106,14 +106,14 @@
   w->is_long = mean > 0 && w->cost >= LONG_FACTOR * mean;
 }
 
-static CcOffer
+static CcOfferResult
 refusal (const char *reason, guint32 retry_after)
 {
-  return (CcOffer){ FALSE, reason, retry_after };
+  return (CcOfferResult){ FALSE, reason, retry_after };
 }
 
 /* Takes W into the queue, or tells why not.  W's cost is set here. */
-CcOffer
+CcOfferResult
 cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now)
 {
   CcAdmissionAsk a;
@@ -136,7 +136,7 @@
       break;
     }
   cc_queue_push (&l->queue, w);
-  return (CcOffer){ TRUE, "", 0 };
+  return (CcOfferResult){ TRUE, "", 0 };
 }
 
 /* Takes out what is to be sent now, and counts it as sent; or NULL. */
@@ -250,7 +250,7 @@
 
 /* This process stood still for SPAN us, and read no answers. */
 void
-cc_load_stood_still (CcLoad *l, gint64 span)
+cc_load_process_paused (CcLoad *l, gint64 span)
 {
   l->progress += span;
 }
--- a/load.h
+++ b/load.h
@@ -29,7 +29,7 @@
   gboolean admitted;
   const char *reason;  /* of a refusal, one word */
   guint32 retry_after; /* of a refusal, ms */
-} CcOffer;
+} CcOfferResult;
 
 typedef enum
 {
@@ -42,12 +42,12 @@
 
 void cc_load_init (CcLoad *l);
 void cc_load_clear (CcLoad *l);
-CcOffer cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now);
+CcOfferResult cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now);
 CcWaiting *cc_load_next (CcLoad *l, CcMaySend may, gpointer data, gint64 now);
 void cc_load_done (CcLoad *l, const CcWaiting *w, CcLoadEnd end, gint64 now);
 gboolean cc_load_retry (CcLoad *l, CcWaiting *w, CcFailure f, gint64 now);
 gboolean cc_load_hedge (const CcLoad *l, const CcWaiting *w, gint64 now);
-void cc_load_stood_still (CcLoad *l, gint64 span);
+void cc_load_process_paused (CcLoad *l, gint64 span);
 gboolean cc_load_stalled (const CcLoad *l, gint64 now);
 guint32 cc_load_wait_ms (const CcLoad *l, gint64 now);
 
--- a/load_reporter.c
+++ b/load_reporter.c
@@ -184,7 +184,7 @@
 
 /* Whether L adds the reports that it receives to its own, or hands them on. */
 void
-cc_load_reporter_relay (CcLoadReporter *l, gboolean relays)
+cc_load_reporter_set_relay (CcLoadReporter *l, gboolean relays)
 {
   l->relays = relays;
 }
--- a/load_reporter.h
+++ b/load_reporter.h
@@ -25,7 +25,7 @@
                                       CcWorkReport work, gpointer data,
                                       char **message);
 void cc_load_reporter_free (CcLoadReporter *l);
-void cc_load_reporter_relay (CcLoadReporter *l, gboolean relays);
+void cc_load_reporter_set_relay (CcLoadReporter *l, gboolean relays);
 void cc_load_reporter_count (CcLoadReporter *l, const char *pool, guint key);
 void cc_load_reporter_work (CcLoadReporter *l, const char *target, double time,
                             guint answers);
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -256,14 +256,14 @@
       " HTTP/1.1\r\nHost: %s\r\n",
       m->tables[0].view.upto, m->tables[1].view.upto, m->tables[2].view.upto,
       m->lease, wait / CC_MS, address);
-  CcHttpOrder o = { .address = address,
-                    .head = head,
-                    .connect_within = PEER_WITHIN,
-                    .answer_within =
-                        wait + (wait > 0 ? FOLLOW_WITHIN : PEER_WITHIN),
-                    .stall_within = FOLLOW_STALL,
-                    .extend_most = FOLLOW_EXTEND,
-                    .idle_max = 2 * CC_SECOND };
+  CcHttpRequest o = { .address = address,
+                      .head = head,
+                      .connect_timeout = PEER_WITHIN,
+                      .answer_timeout =
+                          wait + (wait > 0 ? FOLLOW_WITHIN : PEER_WITHIN),
+                      .stall_timeout = FOLLOW_STALL,
+                      .extend_max = FOLLOW_EXTEND,
+                      .idle_max = 2 * CC_SECOND };
 
   return cc_http_send (m->setup.http, &o, done, m) != NULL;
 }
--- a/range_grant.c
+++ b/range_grant.c
@@ -162,9 +162,9 @@
 }
 
 static gboolean
-call_upstream (CcRangeGrant *x, CcHttpOrder *o, CcHttpDone done)
+call_upstream (CcRangeGrant *x, CcHttpRequest *o, CcHttpDone done)
 {
-  o->connect_within = CALL_CONNECT;
+  o->connect_timeout = CALL_CONNECT;
   o->idle_max = CALL_IDLE;
   x->call_began = cc_clock_now ();
   x->calling = cc_http_send (x->shared->http, o, done, x) != NULL;
@@ -311,8 +311,8 @@
   const CcTarget *t = cc_targets_find (x->shared->targets, x->range->owner);
   CcKeyGrant what = { x->range->owner, x->range->from, x->range->to,
                       x->range->fence, CC_GRANT_HOLD,  x->handoff };
-  CcHttpOrder o = { .answer_within = CALL_WITHIN,
-                    .connected_by = connected_by };
+  CcHttpRequest o = { .answer_timeout = CALL_WITHIN,
+                      .connected_by = connected_by };
   g_autoptr (GBytes) body = NULL;
   g_autofree char *head = NULL;
   g_autofree char *whole = NULL;
@@ -387,10 +387,10 @@
   g_autoptr (GBytes) body = NULL;
   g_autofree char *head = cc_edge_release_head (&what, &body);
   g_autofree char *whole = with_host (head, t->listing.address);
-  CcHttpOrder o = { .address = t->listing.address,
-                    .head = whole,
-                    .body = body,
-                    .answer_within = RELEASE_WITHIN };
+  CcHttpRequest o = { .address = t->listing.address,
+                      .head = whole,
+                      .body = body,
+                      .answer_timeout = RELEASE_WITHIN };
 
   call_upstream (x, &o, on_released);
 }
--- a/server.c
+++ b/server.c
@@ -169,7 +169,7 @@
 cc_server_take (CcServer *s, CcJob *j, const CcClass *class)
 {
   gint64 left = j->deadline - cc_clock_wall ();
-  CcOffer offer = { FALSE, "full", 0 };
+  CcOfferResult offer = { FALSE, "full", 0 };
 
   j->owner = s;
   j->holding = cc_holding_ref (s->holding);
@@ -414,7 +414,7 @@
   if (gap >= STANDSTILL_MIN || !asked)
     cc_holding_stood_still (s->holding, gap);
   if (gap >= STANDSTILL_MIN)
-    cc_load_stood_still (&s->load, gap);
+    cc_load_process_paused (&s->load, gap);
 }
 
 /* Looks at the server's health and grant at NOW.  Called every 20 ms or so. */
--- a/test/demo_caller.c
+++ b/test/demo_caller.c
@@ -77,9 +77,9 @@
   g_autoptr (GString) head = g_string_new (NULL);
   g_autoptr (GBytes) body = g_bytes_new_static ("x", 1);
   Call *c = g_new0 (Call, 1);
-  CcHttpOrder o = { .connect_within = CONNECT_WITHIN,
-                    .answer_within = ANSWER_WITHIN,
-                    .idle_max = KEEP };
+  CcHttpRequest o = { .connect_timeout = CONNECT_WITHIN,
+                      .answer_timeout = ANSWER_WITHIN,
+                      .idle_max = KEEP };
 
   c->id = g_strdup_printf ("q%" G_GUINT64_FORMAT, next_id++);
   c->asked = cc_clock_now ();
--- a/test/demo_fleet.c
+++ b/test/demo_fleet.c
@@ -109,10 +109,10 @@
 demo_fleet_get (const char *address, const char *head, DemoAnswered done,
                 gpointer data)
 {
-  CcHttpOrder o = { .address = address,
-                    .head = head,
-                    .connect_within = ANSWER_WITHIN,
-                    .answer_within = ANSWER_WITHIN };
+  CcHttpRequest o = { .address = address,
+                      .head = head,
+                      .connect_timeout = ANSWER_WITHIN,
+                      .answer_timeout = ANSWER_WITHIN };
   Call *c = g_new0 (Call, 1);
 
   c->done = done;
--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -309,7 +309,7 @@
 /* The connection of P to SERVER for O, which is busy from now on; NULL: there
  * is none that stood as early as O asks for. */
 static Connection *
-take_connection (Process *p, guint server, const CcHttpOrder *o)
+take_connection (Process *p, guint server, const CcHttpRequest *o)
 {
   gint64 now = cc_clock_now ();
   Connection new = { .serial = ++world.serial,
@@ -355,7 +355,7 @@
 }
 
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   Process *p = &world.processes[world.running];
   gint64 now = cc_clock_now ();
@@ -392,11 +392,11 @@
     {
       /* Nobody answers there, or nobody listens. */
       e.kind = EVENT_UNSENT;
-      e.at = now + (p->cut_from[server] ? o->connect_within : ms (1, 4));
+      e.at = now + (p->cut_from[server] ? o->connect_timeout : ms (1, 4));
       push_event (&e);
       return (CcHttpCall *) done;
     }
-  e.at = now + o->answer_within;
+  e.at = now + o->answer_timeout;
   e.kind = EVENT_LATE;
   push_event (&e);
   e.kind = EVENT_ARRIVES;
@@ -476,7 +476,7 @@
 }
 
 static void
-settle (Event *e, CcHttpEnd how)
+settle (Event *e, CcHttpOutcome how)
 {
   CcHttpResult r = {
     .end = how, .why = "", .status = e->status, .connected_at = e->connected_at
@@ -514,7 +514,7 @@
       settle (e, CC_HTTP_UNSENT);
       break;
     case EVENT_LATE:
-      settle (e, CC_HTTP_LATE);
+      settle (e, CC_HTTP_TIMED_OUT);
       break;
     }
   return TRUE;
--- a/test/load.c
+++ b/test/load.c
@@ -369,11 +369,11 @@
   Load *l = a->load;
   g_autofree char *head = NULL;
   g_autoptr (GBytes) body = a->pattern->body > 0 ? make_body (a) : NULL;
-  CcHttpOrder o = { .body = body,
-                    .connect_within = CONNECT_WITHIN,
-                    .answer_within = ANSWER_WITHIN,
-                    .idle_max = a->pattern->body > 0 ? 0 : KEEP,
-                    .closes = a->pattern->body > 0 };
+  CcHttpRequest o = { .body = body,
+                      .connect_timeout = CONNECT_WITHIN,
+                      .answer_timeout = ANSWER_WITHIN,
+                      .idle_max = a->pattern->body > 0 ? 0 : KEEP,
+                      .closes = a->pattern->body > 0 };
 
   /* Nothing ties a repeat without a key to the attempt before it: each is told
    * of itself. */
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -115,7 +115,7 @@
 }
 
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   const char *since = strstr (o->head, "since=") + strlen ("since=");
   const char *wait = strstr (o->head, "wait=") + strlen ("wait=");
@@ -126,7 +126,7 @@
     q->since[i] = g_ascii_strtoull (since, (char **) &since, 10), since++;
   q->peer = world_node_at (o->address);
   g_hash_table_add (q->peer->askers, q->by);
-  q->given_up = cc_clock_now () + o->answer_within;
+  q->given_up = cc_clock_now () + o->answer_timeout;
   q->done = done;
   q->data = data;
   return (CcHttpCall *) q;
@@ -227,7 +227,8 @@
 static void
 end_ask (Question *q)
 {
-  CcHttpResult r = { .end = q->answer != NULL ? CC_HTTP_ANSWERED : CC_HTTP_LATE,
+  CcHttpResult r = { .end = q->answer != NULL ? CC_HTTP_ANSWERED
+                                              : CC_HTTP_TIMED_OUT,
                      .why = "late",
                      .status = 200,
                      .body = q->answer };
--- a/test/soak_caller.c
+++ b/test/soak_caller.c
@@ -88,10 +88,10 @@
   guint gateway = (guint) g_random_int_range (0, (gint32) n);
   GString *head = write_head (method, host, target);
   g_autoptr (GBytes) body = g_bytes_new_static ("x", 1);
-  CcHttpOrder o = { .address = gateways[gateway],
-                    .connect_within = CONNECT_WITHIN,
-                    .answer_within = ANSWER_WITHIN,
-                    .idle_max = g_random_boolean () ? KEEP : 0 };
+  CcHttpRequest o = { .address = gateways[gateway],
+                      .connect_timeout = CONNECT_WITHIN,
+                      .answer_timeout = ANSWER_WITHIN,
+                      .idle_max = g_random_boolean () ? KEEP : 0 };
 
   g_string_append_printf (head,
                           "X-Request-Id: %s\r\nX-Deadline-Ms: %d\r\n"
--- a/test/soak_watch.c
+++ b/test/soak_watch.c
@@ -310,10 +310,10 @@
   for (guint i = 0; i < count; i++)
     {
       Watched *w = &watched[i];
-      CcHttpOrder o = { .address = w->admin,
-                        .head = "GET /metrics HTTP/1.1\r\nHost: admin\r\n",
-                        .connect_within = POLL_WITHIN,
-                        .answer_within = POLL_WITHIN };
+      CcHttpRequest o = { .address = w->admin,
+                          .head = "GET /metrics HTTP/1.1\r\nHost: admin\r\n",
+                          .connect_timeout = POLL_WITHIN,
+                          .answer_timeout = POLL_WITHIN };
       Poll *p;
 
       if (w->run == 0 || w->polled)
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -154,7 +154,7 @@
 {
   CcWaiting a = { .due = WITHIN, .within = WITHIN, .left = CC_SECOND };
   CcWaiting b = a;
-  CcOffer offer;
+  CcOfferResult offer;
   CcLoad l;
 
   cc_load_init (&l);
--- a/test/test_callers.c
+++ b/test/test_callers.c
@@ -81,10 +81,10 @@
       CcHttp *http = cc_http_new ("127.79.0.1");
       g_autofree char *at = g_strdup_printf ("127.79.%u.2:%u", i,
                                              20000 + (guint) getpid () % 20000);
-      CcHttpOrder o = { .address = at,
-                        .head = "GET /n/a HTTP/1.1\r\nHost: a.example\r\n",
-                        .connect_within = CC_SECOND,
-                        .answer_within = CC_SECOND };
+      CcHttpRequest o = { .address = at,
+                          .head = "GET /n/a HTTP/1.1\r\nHost: a.example\r\n",
+                          .connect_timeout = CC_SECOND,
+                          .answer_timeout = CC_SECOND };
       Answer a = { 0 };
       char *message = NULL;
 
--- a/test/test_causes.c
+++ b/test/test_causes.c
@@ -309,10 +309,10 @@
   g_autofree char *address = address_of (1, 1, GATEWAY_LISTEN);
   g_autoptr (GBytes) body = g_bytes_new_static ("x", 1);
   g_autoptr (GString) head = g_string_new (NULL);
-  CcHttpOrder o = { .address = address,
-                    .body = body,
-                    .connect_within = CC_SECOND,
-                    .answer_within = 5 * CC_SECOND };
+  CcHttpRequest o = { .address = address,
+                      .body = body,
+                      .connect_timeout = CC_SECOND,
+                      .answer_timeout = 5 * CC_SECOND };
 
   g_string_append_printf (head,
                           "POST %s HTTP/1.1\r\nHost: a.example\r\n"
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -41,19 +41,26 @@
   guint attempts; /* that the route allows */
   Script script[ATTEMPTS_MAX];
   guint sent; /* attempts that were made */
-  CcEndKind end;
+  CcExchangeOutcome end;
   const char *reason;
   guint status;
 } Case;
 
 static const Case cases[] = {
-  { "once-only, served", FALSE, 2, { OK_200 }, 1, CC_END_ANSWER, "", 200 },
+  { "once-only, served",
+    FALSE,
+    2,
+    { OK_200 },
+    1,
+    CC_EXCHANGE_ANSWERED,
+    "",
+    200 },
   { "once-only, failed by the server",
     FALSE,
     2,
     { ERROR_500 },
     1,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     500 },
   { "once-only, lost",
@@ -61,7 +68,7 @@
     2,
     { LOST, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "once-only, late",
@@ -69,7 +76,7 @@
     2,
     { LATE, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "deadline",
     0 },
   { "once-only, unsigned answer",
@@ -77,7 +84,7 @@
     2,
     { UNSIGNED_200, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "not-its-answer",
     0 },
   { "once-only, another's answer",
@@ -85,7 +92,7 @@
     2,
     { OTHERS_ECHO, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "not-its-answer",
     0 },
   { "once-only, shed, then served",
@@ -93,7 +100,7 @@
     2,
     { SHED_503, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "once-only, shed by all it may go to",
@@ -101,7 +108,7 @@
     2,
     { SHED_503, SHED_503 },
     2,
-    CC_END_NOT_RUN,
+    CC_EXCHANGE_NOT_RUN,
     "shed",
     0 },
   { "once-only, shed, then lost",
@@ -109,7 +116,7 @@
     3,
     { SHED_503, LOST },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "once-only, address of another, then served",
@@ -117,7 +124,7 @@
     2,
     { OTHER_421, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "once-only, unreachable, then served",
@@ -125,7 +132,7 @@
     1,
     { UNSENT, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, lost, then served",
@@ -133,7 +140,7 @@
     2,
     { LOST, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, lost, then shed",
@@ -141,7 +148,7 @@
     2,
     { LOST, SHED_503 },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "shed",
     0 },
   { "idempotent, failed, then shed",
@@ -149,7 +156,7 @@
     2,
     { ERROR_500, SHED_503 },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "shed",
     0 },
   { "idempotent, one attempt only",
@@ -157,7 +164,7 @@
     1,
     { LOST, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "idempotent, failed, then served",
@@ -165,7 +172,7 @@
     2,
     { ERROR_500, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, failed twice",
@@ -173,7 +180,7 @@
     2,
     { ERROR_500, ERROR_500 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     500 },
   { "idempotent, out of time at the server",
@@ -181,7 +188,7 @@
     2,
     { EXPIRED_504, OK_200 },
     1,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     504 },
 };
@@ -202,7 +209,7 @@
 } net;
 
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   Call *c = g_new0 (Call, 1);
 
@@ -299,7 +306,7 @@
       break;
     case LATE:
     case NONE:
-      r.end = CC_HTTP_LATE;
+      r.end = CC_HTTP_TIMED_OUT;
       break;
     }
   r.body = body;
@@ -311,7 +318,7 @@
 typedef struct
 {
   gboolean ended;
-  CcEndKind kind;
+  CcExchangeOutcome kind;
   guint status;
   char reason[32];
   gint64 retry_after;
@@ -319,7 +326,7 @@
 } Outcome;
 
 static void
-on_end (const CcEnd *e, gpointer data)
+on_end (const CcExchangeResult *e, gpointer data)
 {
   Outcome *o = data;
 
@@ -403,14 +410,14 @@
 static CcExchange *
 begin (World *w, Outcome *o)
 {
-  CcExchangeStart s = { .route = &w->route,
-                        .pool = "booking",
-                        .keyed = w->caller.key >= 0,
-                        .caller = &w->caller,
-                        .method = "POST",
-                        .path = "/b",
-                        .headers = "",
-                        .body = w->body };
+  CcExchangeRequest s = { .route = &w->route,
+                          .pool = "booking",
+                          .keyed = w->caller.key >= 0,
+                          .caller = &w->caller,
+                          .method = "POST",
+                          .path = "/b",
+                          .headers = "",
+                          .body = w->body };
 
   return cc_exchange_begin (w->forwarder, &s, on_end, o);
 }
@@ -499,7 +506,7 @@
       while (!o.ended && !g_queue_is_empty (net.calls))
         play (SHED_503);
       assert_true (o.ended);
-      assert_int_equal (o.kind, CC_END_NOT_RUN);
+      assert_int_equal (o.kind, CC_EXCHANGE_NOT_RUN);
       assert_true (o.retry_after > 0);
     }
   assert_true (net.addresses->len <= requests + 0.2 * requests + 100);
--- a/test/test_grant_time.c
+++ b/test/test_grant_time.c
@@ -22,7 +22,7 @@
 
 /* In place of http_link.c. */
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   (void) h, (void) o, (void) data;
   calls.sent++;
--- a/test/test_http_link.c
+++ b/test/test_http_link.c
@@ -31,7 +31,7 @@
   const char *name;
   const char *bytes; /* of the answer */
   Then then;
-  CcHttpEnd end;
+  CcHttpOutcome end;
   guint status;
   const char *body;
   gboolean kept; /* the next call goes out on the same connection */
@@ -55,9 +55,9 @@
     THEN_CLOSE, CC_HTTP_LOST, 0, "", FALSE },
   { "no answer, closed", "", THEN_CLOSE, CC_HTTP_LOST, 0, "", FALSE },
   { "no answer, reset", "", THEN_RESET, CC_HTTP_LOST, 0, "", FALSE },
-  { "silent", "", THEN_KEEP, CC_HTTP_LATE, 0, "", FALSE },
+  { "silent", "", THEN_KEEP, CC_HTTP_TIMED_OUT, 0, "", FALSE },
   { "stops in the middle", OK "Content-Length: 5\r\n\r\nhi", THEN_KEEP,
-    CC_HTTP_LATE, 0, "", FALSE },
+    CC_HTTP_TIMED_OUT, 0, "", FALSE },
   { "not HTTP", "what?\r\n\r\n", THEN_KEEP, CC_HTTP_LOST, 0, "", FALSE },
   { "says it closes", OK "Content-Length: 2\r\nConnection: close\r\n\r\nhi",
     THEN_KEEP, CC_HTTP_ANSWERED, 200, "hi", FALSE },
@@ -71,7 +71,7 @@
        "Content-Length: 2\r\nX-Echo: 1\r\n\r\nhi",
     THEN_KEEP, CC_HTTP_ANSWERED, 200, "hi", FALSE },
   { "only another's answer", OK "Content-Length: 2\r\nX-Echo: 0\r\n\r\nho",
-    THEN_KEEP, CC_HTTP_LATE, 0, "", FALSE },
+    THEN_KEEP, CC_HTTP_TIMED_OUT, 0, "", FALSE },
   { "says it goes on first",
     "HTTP/1.1 100 Continue\r\n\r\n" OK "Content-Length: 2\r\n\r\nhi", THEN_KEEP,
     CC_HTTP_ANSWERED, 200, "hi", TRUE },
@@ -204,7 +204,7 @@
 typedef struct
 {
   gboolean ended;
-  CcHttpEnd end;
+  CcHttpOutcome end;
   guint status;
   char body[64];
   gint64 connected_at; /* us */
@@ -226,20 +226,20 @@
     memcpy (o->body, bytes, MIN (size, sizeof o->body - 1));
 }
 
-static CcHttpOrder
+static CcHttpRequest
 order_to (const char *address)
 {
-  return (CcHttpOrder){ .address = address,
-                        .head = "GET /x HTTP/1.1\r\nHost: a\r\n",
-                        .echo = ECHO,
-                        .echo_value = "1",
-                        .connect_within = WITHIN,
-                        .answer_within = WITHIN,
-                        .idle_max = CC_SECOND };
+  return (CcHttpRequest){ .address = address,
+                          .head = "GET /x HTTP/1.1\r\nHost: a\r\n",
+                          .echo = ECHO,
+                          .echo_value = "1",
+                          .connect_timeout = WITHIN,
+                          .answer_timeout = WITHIN,
+                          .idle_max = CC_SECOND };
 }
 
 static Outcome
-call (CcHttp *h, const CcHttpOrder *o)
+call (CcHttp *h, const CcHttpRequest *o)
 {
   Outcome out = { 0 };
 
@@ -275,7 +275,7 @@
     {
       const Case *c = &cases[i];
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpOrder o = order_to (server.address);
+      CcHttpRequest o = order_to (server.address);
       Outcome out;
       guint accepted;
 
@@ -305,7 +305,7 @@
                              200,       "",
                              TRUE };
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpOrder o = order_to (server.address);
+  CcHttpRequest o = order_to (server.address);
   guint accepted;
 
   (void) state;
@@ -325,7 +325,7 @@
 a_refused_connection_is_unsent (void **state)
 {
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpOrder o = order_to ("127.0.0.1:1");
+  CcHttpRequest o = order_to ("127.0.0.1:1");
 
   (void) state;
   assert_int_equal (call (h, &o).end, CC_HTTP_UNSENT);
@@ -338,17 +338,17 @@
 static void
 a_call_that_is_given_up_resets_its_connection (void **state)
 {
-  static const Case silent = { "silent", "", THEN_KEEP, CC_HTTP_LATE,
+  static const Case silent = { "silent", "", THEN_KEEP, CC_HTTP_TIMED_OUT,
                                0,        "", FALSE };
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpOrder o = order_to (server.address);
+  CcHttpRequest o = order_to (server.address);
   Outcome out = { 0 };
   CcHttpCall *cancelled;
 
   (void) state;
   server.playing = &silent;
   server.reset = FALSE;
-  assert_int_equal (call (h, &o).end, CC_HTTP_LATE);
+  assert_int_equal (call (h, &o).end, CC_HTTP_TIMED_OUT);
   turn (50);
   assert_true (server.reset);
   server.reset = FALSE;
@@ -367,10 +367,10 @@
 {
   const char *name;
   guint byte_every_ms;
-  gint64 stall_within; /* us */
-  gint64 extend_most;  /* us */
+  gint64 stall_timeout; /* us */
+  gint64 extend_max;    /* us */
   const char *bytes;
-  CcHttpEnd end;
+  CcHttpOutcome end;
 } Slow;
 
 /* Each of these takes longer than WITHIN, or never ends. */
@@ -378,13 +378,13 @@
   { "goes on", 15, 150 * CC_MS, CC_SECOND, OK "Content-Length: 2\r\n\r\nhi",
     CC_HTTP_ANSWERED },
   { "goes on, with no exception", 15, 0, 0, OK "Content-Length: 2\r\n\r\nhi",
-    CC_HTTP_LATE },
+    CC_HTTP_TIMED_OUT },
   { "goes on for too long", 15, 150 * CC_MS, 100 * CC_MS,
-    OK "Content-Length: 2\r\n\r\nhi", CC_HTTP_LATE },
+    OK "Content-Length: 2\r\n\r\nhi", CC_HTTP_TIMED_OUT },
   { "goes on with longer pauses", 400, 150 * CC_MS, CC_SECOND,
-    OK "Content-Length: 2\r\n\r\nhi", CC_HTTP_LATE },
+    OK "Content-Length: 2\r\n\r\nhi", CC_HTTP_TIMED_OUT },
   { "stops in the middle", 15, 150 * CC_MS, CC_SECOND,
-    OK "Content-Length: 5\r\n\r\nhi", CC_HTTP_LATE },
+    OK "Content-Length: 5\r\n\r\nhi", CC_HTTP_TIMED_OUT },
 };
 
 /* Guards against a large answer that is given up while it arrives. */
@@ -397,11 +397,11 @@
       const Slow *s = &slow_answers[i];
       const Case playing = { .name = s->name, .bytes = s->bytes };
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpOrder o = order_to (server.address);
+      CcHttpRequest o = order_to (server.address);
       Outcome out;
 
-      o.stall_within = s->stall_within;
-      o.extend_most = s->extend_most;
+      o.stall_timeout = s->stall_timeout;
+      o.extend_max = s->extend_max;
       server.playing = &playing;
       server.byte_every_ms = s->byte_every_ms;
       out = call (h, &o);
@@ -438,9 +438,9 @@
 {
   static const struct
   {
-    gint64 stall_within; /* us */
-    CcHttpEnd end;
-  } stalls[] = { { 100 * CC_MS, CC_HTTP_ANSWERED }, { 0, CC_HTTP_LATE } };
+    gint64 stall_timeout; /* us */
+    CcHttpOutcome end;
+  } stalls[] = { { 100 * CC_MS, CC_HTTP_ANSWERED }, { 0, CC_HTTP_TIMED_OUT } };
 
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (stalls); i++)
@@ -449,12 +449,12 @@
       guint16 port = g_socket_listener_add_any_inet_port (l, NULL, NULL);
       g_autofree char *address = g_strdup_printf ("127.0.0.1:%u", port);
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpOrder o = order_to (address);
+      CcHttpRequest o = order_to (address);
       GThread *peer = g_thread_new ("peer", answer_later, l);
       Outcome out = { 0 };
 
-      o.stall_within = stalls[i].stall_within;
-      o.extend_most = CC_SECOND;
+      o.stall_timeout = stalls[i].stall_timeout;
+      o.extend_max = CC_SECOND;
       assert_non_null (cc_http_send (h, &o, on_done, &out));
       turn (20);
       g_usleep (WITHIN + 50 * CC_MS);
@@ -462,7 +462,7 @@
         g_main_context_iteration (NULL, TRUE);
       if (out.end != stalls[i].end)
         fail_msg ("end %d with %d ms", out.end,
-                  (int) (stalls[i].stall_within / CC_MS));
+                  (int) (stalls[i].stall_timeout / CC_MS));
       g_thread_join (peer);
       cc_http_free (h);
     }
@@ -491,7 +491,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (orders); i++)
     {
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpOrder o = order_to (server.address);
+      CcHttpRequest o = order_to (server.address);
       Outcome first, second = { 0 };
       guint accepted;
 
@@ -538,7 +538,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (kept); i++)
     {
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpOrder o = order_to (server.address);
+      CcHttpRequest o = order_to (server.address);
       CcFdWatch stall;
       int ends[2];
       Outcome out = { 0 };
--- a/test/test_load_reporter.c
+++ b/test/test_load_reporter.c
@@ -163,7 +163,7 @@
   CcLoadReporter *entries[ENTRIES];
   g_autofree char *address = address_of (0);
 
-  cc_load_reporter_relay (relay, TRUE);
+  cc_load_reporter_set_relay (relay, TRUE);
   for (guint e = 0; e < ENTRIES; e++)
     entries[e] = new_reporter (e + 2);
   for (guint r = 0; r < c->rounds; r++)
--- a/test/test_target.c
+++ b/test/test_target.c
@@ -74,10 +74,10 @@
 {
   g_autofree char *head =
       g_strdup_printf ("GET %s HTTP/1.1\r\nHost: a.example\r\n", target);
-  CcHttpOrder o = { .address = at,
-                    .head = head,
-                    .connect_within = CC_SECOND,
-                    .answer_within = CC_SECOND };
+  CcHttpRequest o = { .address = at,
+                      .head = head,
+                      .connect_timeout = CC_SECOND,
+                      .answer_timeout = CC_SECOND };
   char *seen = NULL;
 
   assert_non_null (cc_http_send (http, &o, on_answer, &seen));
