--- a/forward.c
+++ b/forward.c
@@ -1,5 +1,5 @@
-/* A request waits for room at its pool and goes to an upstream; how it goes on
- * from there stands in exchange.c. */
+/* Queues a request until an upstream of its pool has capacity, then sends it.
+ * The end of an attempt and retries are handled in exchange.c. */
 #include "forward.h"
 
 #include <string.h>
@@ -8,32 +8,35 @@
 #include "clock.h"
 #include "exchange_state.h"
 
-/* A connection within a region stands after 3 ms; what takes longer is lost on
- * the way or silent, and another upstream answers sooner than a second SYN. */
-#define CONNECT_WITHIN (200 * CC_MS)
-/* Kept connections are used again if idle for less.  The older one is, the
- * likelier its end is on the way, and a once-only request that meets it can
- * neither be repeated nor refused; so for these the bound is tighter. */
-#define IDLE_IDEMPOTENT (8 * CC_SECOND)
-#define IDLE_ONCE (4 * CC_SECOND)
-/* A server answers at the deadline that it was given; its answer, which says
- * what became of the work, is waited for this much longer. */
+/* Within a region a connection is established in 3 ms.  One that takes much
+ * longer was lost or its peer is silent, and another upstream answers sooner
+ * than a retransmitted SYN. */
+#define CONNECT_TIMEOUT (200 * CC_MS)
+/* Longest idle time of a connection that is reused.  The longer it was idle,
+ * the likelier the peer is closing it.  A once-only request that hits such a
+ * close can be neither repeated nor refused, so its limit is lower. */
+#define IDLE_MAX_IDEMPOTENT (8 * CC_SECOND)
+#define IDLE_MAX_ONCE_ONLY (4 * CC_SECOND)
+/* A server answers at the latest at the deadline it was given.  That answer
+ * reports the outcome of the work, so it is awaited this much longer. */
 #define ANSWER_GRACE (60 * CC_MS)
-/* A request whose keys are changing hands waits for them so long, as a part of
- * its target: a move takes the time of the work in progress, and is over sooner
- * than the caller would be back. */
-#define MOVING_PART 0.6
-/* A request waits for room at its key's owner for this part of its target.
- * Longer, it would only keep the caller from coming back when the keys have
- * moved or the queue has drained. */
-#define OWNER_PART 0.125
-/* Requests in one backlog; admission refuses long before. */
+/* Longest wait of a request whose key is being moved to another owner, as a
+ * fraction of the route's target time.  A move takes as long as the work in
+ * progress, which is less than the time until the caller would retry. */
+#define KEYS_MOVING_WAIT_RATIO 0.6
+/* Longest wait for capacity at a key's owner, as a fraction of the route's
+ * target time.  A longer wait only delays the caller's retry, which may find
+ * the key moved or the queue drained. */
+#define OWNER_WAIT_RATIO 0.125
+/* Hard limit on a pool's backlog, requests; admission control refuses long
+ * before it is reached. */
 #define BACKLOG_MAX 2000
-/* How often waiting requests are looked at although no attempt has ended: room
- * comes with time as well, as words on load age. */
-#define LOOK_PERIOD (20 * CC_MS)
+/* Period at which waiting requests are retried even if no attempt has ended:
+ * load reports lose weight with age, which also frees capacity. */
+#define PUMP_PERIOD (20 * CC_MS)
 
-/* A forwarder without requests; SETUP's strings and objects must last. */
+/* Returns a forwarder without requests.  SETUP is copied; the strings and
+ * objects that it refers to must outlive the forwarder. */
 CcForwarder *
 cc_forwarder_new (const CcForwarderSetup *setup)
 {
@@ -58,14 +61,16 @@
   return p;
 }
 
-/* Tells how many ENTRIES the fleet has, which share the retry budget. */
+/* Sets the number of gateways (entries) in the fleet, which share the retry
+ * budget and the limits on connections. */
 void
 cc_forwarder_set_entries (CcForwarder *f, guint entries)
 {
   f->entries = MAX (entries, 1);
 }
 
-/* An upstream of POOL accepts CONNECTIONS from the whole fleet. */
+/* Limits the connections to each upstream of POOL to this gateway's share of
+ * CONNECTIONS, the limit for the whole fleet; 0: no limit. */
 void
 cc_forwarder_limit_connections (CcForwarder *f, const char *pool,
                                 guint connections)
@@ -74,15 +79,15 @@
       connections == 0 ? 0 : MAX (connections / f->entries, 2);
 }
 
-/* Requests that have no answer yet. */
+/* The number of requests that have no result yet. */
 guint
 cc_forwarder_pending (const CcForwarder *f)
 {
   return f->pending;
 }
 
-/* How long hardly any request on ROUTE takes at POOL, us; G_MAXINT64: nothing
- * is known. */
+/* The service time that few requests on ROUTE exceed at POOL, us; G_MAXINT64 if
+ * it is unknown. */
 gint64
 cc_forwarder_longest_time (CcForwarder *f, const char *pool,
                            const CcRoute *route)
@@ -90,7 +95,7 @@
   return cc_work_times_longest (&find_pool (f, pool)->times, route->name);
 }
 
-/* Writes what is known of each pool to the metrics. */
+/* Updates the metric gauges of all pools. */
 void
 cc_forwarder_write_gauges (const CcForwarder *f)
 {
@@ -102,33 +107,36 @@
     cc_forward_pool_write_gauges (value);
 }
 
-/* Returns FALSE if E was ended: nothing could be opened to T. */
+/* Sends E to T.  Returns FALSE, with E back in the backlog, if no connection to
+ * T is available.  An upstream that E has tried before gets a new connection.
+ */
 static gboolean
 send_to (CcExchange *e, CcTarget *t)
 {
   gint64 now = cc_clock_now ();
   gint64 left = cc_exchange_left (e, now);
   g_autoptr (GString) head = g_string_new (NULL);
-  gboolean fresh = g_ptr_array_find (e->tried, t, NULL);
-  CcHttpRequest o = { .address = t->listing.address,
-                      .body = e->body,
-                      .bodiless = g_str_equal (e->method, "HEAD"),
-                      .echo = cc_edge_echo (),
-                      .echo_value = e->caller.id,
-                      .connect_timeout = CONNECT_WITHIN,
-                      .answer_timeout = left + ANSWER_GRACE,
-                      .idle_max = e->idempotent ? IDLE_IDEMPOTENT : IDLE_ONCE,
-                      .connections_max = e->pool->connections_max };
-
-  if (fresh)
-    o.idle_max = 0;
+  gboolean tried_before = g_ptr_array_find (e->tried, t, NULL);
+  CcHttpRequest request = { .address = t->listing.address,
+                            .body = e->body,
+                            .bodiless = g_str_equal (e->method, "HEAD"),
+                            .echo = cc_edge_echo (),
+                            .echo_value = e->caller.id,
+                            .connect_timeout = CONNECT_TIMEOUT,
+                            .answer_timeout = left + ANSWER_GRACE,
+                            .idle_max = e->idempotent ? IDLE_MAX_IDEMPOTENT
+                                                      : IDLE_MAX_ONCE_ONLY,
+                            .connections_max = e->pool->connections_max };
+
+  if (tried_before)
+    request.idle_max = 0;
   g_string_append_printf (head, "%s %s HTTP/1.1\r\n%s", e->method, e->path,
                           e->headers);
   cc_edge_write_order (head, &e->caller, left, t->listing.id);
-  o.head = head->str;
+  request.head = head->str;
   cc_backlog_remove (&e->pool->backlog, &e->entry);
-  e->call =
-      cc_http_send (e->forwarder->setup.http, &o, cc_exchange_on_result, e);
+  e->call = cc_http_send (e->forwarder->setup.http, &request,
+                          cc_exchange_on_result, e);
   if (e->call == NULL)
     {
       cc_backlog_push (&e->pool->backlog, &e->entry);
@@ -140,7 +148,7 @@
   e->leaving = t->state == CC_TARGET_READY ? -1 : cc_target_state_age (t, now);
   e->target = t;
   e->attempts++;
-  if (!fresh)
+  if (!tried_before)
     g_ptr_array_add (e->tried, t);
   e->work_share =
       cc_pick_sent (&t->load, &e->typical, cc_exchange_inside (e, t, now));
@@ -150,13 +158,13 @@
 
 typedef enum
 {
-  STEP_SENT,  /* it is at an upstream now */
-  STEP_WAITS, /* no room yet */
-  STEP_ENDED  /* it was refused, and is gone */
-} Step;
+  SEND_DONE,   /* sent to an upstream */
+  SEND_WAITS,  /* no capacity yet */
+  SEND_REFUSED /* refused; the exchange is freed */
+} SendResult;
 
 static CcChoice
-choice_of (const CcExchange *e)
+choice_for (const CcExchange *e)
 {
   const CcForwarderSetup *setup = &e->forwarder->setup;
 
@@ -168,67 +176,68 @@
                      .typical = e->typical };
 }
 
-static Step
-step_keyed (CcExchange *e, gint64 now)
+static SendResult
+try_send_to_owner (CcExchange *e, gint64 now)
 {
-  CcChoice c = choice_of (e);
+  CcChoice c = choice_for (e);
   CcChosen chosen = cc_choose_owner (&c, &e->pool->ranges, e->caller.key, now);
   CcTarget *t = chosen.target;
 
   e->considered = chosen.considered;
   if (t != NULL && cc_choose_has_room (&c, t, now))
-    return send_to (e, t) ? STEP_SENT : STEP_WAITS;
-  /* One that shed work has room again in a moment; one that can't be reached
-   * may not. */
+    return send_to (e, t) ? SEND_DONE : SEND_WAITS;
+  /* An owner that shed work has capacity again shortly; an unreachable one may
+   * not. */
   if (t != NULL && (now >= t->load.avoid_until || t->load.avoid_span == 0))
     {
-      gint64 room_at = cc_choose_room_at (&c, t, now);
+      gint64 capacity_at = cc_choose_room_at (&c, t, now);
 
-      if (room_at <= e->began + (gint64) (OWNER_PART * (double) e->target_time))
-        return STEP_WAITS;
-      cc_exchange_end_not_run_until (e, "owner-full", room_at);
-      return STEP_ENDED;
+      if (capacity_at <=
+          e->began + (gint64) (OWNER_WAIT_RATIO * (double) e->target_time))
+        return SEND_WAITS;
+      cc_exchange_end_not_run_until (e, "owner-full", capacity_at);
+      return SEND_REFUSED;
     }
   e->moving |= chosen.moving;
-  if (chosen.moving &&
-      now - e->began < (gint64) (MOVING_PART * (double) e->target_time))
-    return STEP_WAITS;
-  /* The owner is tried again when it is due, and by then its keys may have
-   * moved; a caller that is back sooner asks in vain. */
+  if (chosen.moving && now - e->began < (gint64) (KEYS_MOVING_WAIT_RATIO *
+                                                  (double) e->target_time))
+    return SEND_WAITS;
+  /* The owner is not tried before avoid_until, by when its keys may have moved,
+   * so an earlier retry by the caller cannot succeed. */
   if (t != NULL)
     cc_exchange_end_not_run_until (e, "owner-unreachable", t->load.avoid_until);
   else
     cc_exchange_end_not_run (e, chosen.moving ? "keys-moving" : "no-owner");
-  return STEP_ENDED;
+  return SEND_REFUSED;
 }
 
-static Step
-step (CcExchange *e, gint64 now)
+static SendResult
+try_send (CcExchange *e, gint64 now)
 {
   CcChoice c;
   CcChosen chosen;
 
   if (now < e->not_before)
-    return STEP_WAITS;
+    return SEND_WAITS;
   e->typical = cc_forward_pool_typical (e->pool, e->kind, now);
-  c = choice_of (e);
+  c = choice_for (e);
   if (e->keyed)
-    return step_keyed (e, now);
+    return try_send_to_owner (e, now);
   chosen = cc_choose_any (&c, now);
   e->considered = chosen.considered;
   if (chosen.target != NULL)
-    return send_to (e, chosen.target) ? STEP_SENT : STEP_WAITS;
-  /* None will be reached for a while: another entry may reach them, and the
-   * caller finds it sooner if it is told now. */
+    return send_to (e, chosen.target) ? SEND_DONE : SEND_WAITS;
+  /* No upstream is reachable from here for a while.  Another gateway may reach
+   * one, and the caller gets there sooner if it is refused now. */
   if (chosen.reachable_at > now)
     {
       cc_exchange_end_not_run_until (e, "unreachable", chosen.reachable_at);
-      return STEP_ENDED;
+      return SEND_REFUSED;
     }
   if (chosen.considered != NULL)
-    return STEP_WAITS;
+    return SEND_WAITS;
   cc_exchange_end_not_run (e, "no-upstream");
-  return STEP_ENDED;
+  return SEND_REFUSED;
 }
 
 static void
@@ -243,26 +252,26 @@
       gboolean keyed = e->keyed;
 
       i = g_sequence_iter_next (i);
-      if (step (e, now) == STEP_WAITS && !keyed && now >= e->not_before)
+      if (try_send (e, now) == SEND_WAITS && !keyed && now >= e->not_before)
         return;
     }
 }
 
 static void
-on_look (gpointer data)
+on_pump_timer (gpointer data)
 {
   cc_forwarder_pump (data);
 }
 
-/* Looks again soon, if anything waits. */
+/* Starts the timer for the next pump unless it is running. */
 static void
-look_soon (CcForwarder *f)
+schedule_pump (CcForwarder *f)
 {
   if (f->looks.place == NULL)
-    cc_timer_start (&f->looks, LOOK_PERIOD, on_look, f);
+    cc_timer_start (&f->looks, PUMP_PERIOD, on_pump_timer, f);
 }
 
-/* Sends what there is room for now. */
+/* Sends all waiting requests for which there is capacity now. */
 void
 cc_forwarder_pump (CcForwarder *f)
 {
@@ -281,12 +290,13 @@
       waiting |= cc_backlog_length (&p->backlog) > 0;
     }
   if (waiting)
-    look_soon (f);
+    schedule_pump (f);
 }
 
-/* Takes the ranges of P among ROWS.  Returns FALSE if there are none. */
+/* Applies those of ROWS that describe key ranges of P.  Returns FALSE if there
+ * are none. */
 static gboolean
-take_ranges (CcForwardPool *p, const GPtrArray *rows)
+update_ranges (CcForwardPool *p, const GPtrArray *rows)
 {
   g_autofree char *prefix = g_strdup_printf (CC_RANGE_PREFIX "%s/", p->name);
   gboolean found = FALSE;
@@ -303,8 +313,9 @@
   return found;
 }
 
-/* ROWS (CcRow) of STATE, which must last, have changed: takes the owners of
- * keys among them. */
+/* Applies changed key ranges.  ROWS (of CcRow) are the rows of STATE that
+ * changed; STATE must outlive F.  Requests that wait for a moved key are sent
+ * at once. */
 void
 cc_forwarder_ranges_changed (CcForwarder *f, const CcView *state,
                              const GPtrArray *rows)
@@ -319,7 +330,7 @@
       CcForwardPool *p = value;
       GSequenceIter *s = g_sequence_get_begin_iter (p->backlog.order);
 
-      if (!take_ranges (p, rows))
+      if (!update_ranges (p, rows))
         continue;
       for (; !g_sequence_iter_is_end (s); s = g_sequence_iter_next (s))
         ((CcExchange *) ((CcBacklogEntry *) g_sequence_get (s))->item)
@@ -364,7 +375,8 @@
   return e;
 }
 
-/* Whether E, which waits, is worth waiting. */
+/* Whether E, which can't be sent at once, is expected to be served in time if
+ * it waits. */
 static gboolean
 is_admitted (CcExchange *e)
 {
@@ -377,14 +389,14 @@
                             cc_exchange_left (e, now));
 }
 
-/* Takes a request in.  DONE is called from the main loop or before this
- * returns; it returns NULL in that case. */
+/* Starts to forward a request.  DONE is called once, from the main loop or
+ * before this function returns; in the latter case it returns NULL. */
 CcExchange *
 cc_exchange_begin (CcForwarder *f, const CcExchangeRequest *s,
                    CcExchangeDone done, gpointer data)
 {
   CcExchange *e = exchange_new (f, s, done, data);
-  /* For a key there is one upstream, whose queue says more than the pool's. */
+  /* A key has a single owner, whose own queue decides, not the pool's. */
   gboolean admitted = e->keyed || is_admitted (e);
 
   if (e->keyed && e->caller.key >= 0)
@@ -394,27 +406,27 @@
   cc_backlog_push (&e->pool->backlog, &e->entry);
   cc_timer_start (&e->timer, cc_exchange_left (e, e->began),
                   cc_exchange_on_give_up, e);
-  switch (step (e, e->began))
+  switch (try_send (e, e->began))
     {
-    case STEP_ENDED:
+    case SEND_REFUSED:
       return NULL;
-    case STEP_SENT:
+    case SEND_DONE:
       return e;
-    case STEP_WAITS:
+    case SEND_WAITS:
       break;
     }
   if (admitted)
     {
-      look_soon (f);
+      schedule_pump (f);
       return e;
     }
   cc_exchange_end_not_run (e, "full");
   return NULL;
 }
 
-/* The caller has gone.  Work that may be repeated is ended at the server; a
- * once-only request at a server goes on, since breaking it off would leave
- * nobody knowing how far it came.  DONE is not called. */
+/* Cancels E after its caller disconnected.  An idempotent request is aborted at
+ * the server.  A once-only request that was sent continues, since after an
+ * abort its outcome would be unknown.  DONE is not called. */
 void
 cc_exchange_cancel (CcExchange *e)
 {
--- a/forward.h
+++ b/forward.h
@@ -1,4 +1,5 @@
-/* Callers' requests, from their admission to their answer. */
+/* Forwards callers' requests to upstreams: admission, queueing, attempts and
+ * the final result. */
 #ifndef CC_FORWARD_H
 #define CC_FORWARD_H
 
@@ -9,10 +10,10 @@
 typedef struct CcForwarder CcForwarder;
 typedef struct CcExchange CcExchange;
 
-/* What became of a request. */
+/* The outcome of a request. */
 typedef enum
 {
-  CC_EXCHANGE_ANSWERED, /* a server's answer is to be handed on */
+  CC_EXCHANGE_ANSWERED, /* a server's answer, to be returned to the caller */
   CC_EXCHANGE_NOT_RUN,  /* no server ran it, and none will */
   CC_EXCHANGE_UNKNOWN   /* it may have run */
 } CcExchangeOutcome;
@@ -20,36 +21,36 @@
 typedef struct
 {
   CcExchangeOutcome kind;
-  const char *reason; /* one word */
+  const char *reason; /* one word; "" with an answer */
   guint status;       /* of an answer */
-  GVariant *headers;  /* of an answer, packed */
+  GVariant *headers;  /* of an answer, packed (headers.h) */
   GBytes *body;       /* of an answer */
-  gint64 retry_after; /* NOT_RUN: when to come back, us */
-  const char *target; /* the upstream tried last, "" if none */
-  guint attempts;     /* that reached an upstream */
-  guint waiting;      /* requests that waited for the pool */
+  gint64 retry_after; /* NOT_RUN: delay before the caller retries, us */
+  const char *target; /* id of the last upstream tried or considered, or "" */
+  guint attempts;     /* attempts that reached an upstream */
+  guint waiting;      /* requests in the pool's queue at the end */
   gint64 waited;      /* time in the pool's queue, us */
   gint64 served;      /* time at upstreams, us */
-  gint64 leaving;     /* the target had been leaving for so long at most when it
-                         was sent there, us; -1: it was not leaving, or nothing
-                         was sent */
-  gint64 expected;    /* time for an answer from the target considered, us */
-  double inside;      /* requests inside it, by estimate */
+  gint64 leaving;     /* upper bound on how long the target had been leaving
+                         when the last attempt was sent, us; -1: it was not
+                         leaving, or nothing was sent */
+  gint64 expected;    /* estimated response time of the target considered, us */
+  double inside;      /* estimated number of requests inside that target */
 } CcExchangeResult;
 
-/* Called once; E is valid during the call. */
+/* Called once, with the result of an exchange; E is valid during the call. */
 typedef void (*CcExchangeDone) (const CcExchangeResult *e, gpointer data);
 
-/* A request; everything is copied. */
+/* A request to forward; cc_exchange_begin copies all of it. */
 typedef struct
 {
   const CcRoute *route;
   const char *pool;
-  gboolean keyed; /* POOL's upstreams own keys */
+  gboolean keyed; /* POOL's upstreams own key ranges */
   const CcCallerInfo *caller;
   const char *method;
   const char *path;    /* with its query, as the caller sent it */
-  const char *headers; /* those to pass on, each line with CRLF */
+  const char *headers; /* to forward; each line ends in CRLF */
   GBytes *body;
 } CcExchangeRequest;
 
@@ -58,7 +59,7 @@
   CcHttp *http;
   CcTargets *targets;
   const char *zone;         /* of this instance */
-  CcLoadReporter *reporter; /* is told which keys are asked for */
+  CcLoadReporter *reporter; /* counts the keys requested */
   CcRetryBound retry_bound;
 } CcForwarderSetup;
 
--- a/forward_pool.c
+++ b/forward_pool.c
@@ -1,10 +1,12 @@
-/* A pool's queue, budget and owners of keys, as one entry knows them. */
+/* A pool's queue, retry budget, load and key owners, as known to one gateway.
+ */
 #include "forward_pool.h"
 
 #include "clock.h"
 #include "metrics.h"
 
-/* The pool NAME, with the owners of its keys from STATE; NULL: none known. */
+/* Returns a new pool NAME.  Its key owners are read from STATE, which may be
+ * NULL if the table has not been read yet. */
 CcForwardPool *
 cc_forward_pool_new (const char *name, const CcView *state)
 {
@@ -19,7 +21,7 @@
   return p;
 }
 
-/* Frees a CcForwardPool. */
+/* Frees POOL, a CcForwardPool. */
 void
 cc_forward_pool_free (gpointer pool)
 {
@@ -32,7 +34,8 @@
   g_free (p);
 }
 
-/* What is usual at P's upstreams for a request of KIND at NOW. */
+/* The typical work time of a request of KIND at P's upstreams, and their
+ * typical load at NOW. */
 CcTypicalWork
 cc_forward_pool_typical (const CcForwardPool *p, const char *kind, gint64 now)
 {
@@ -42,7 +45,7 @@
   return typical;
 }
 
-/* Writes what P is like now to the metrics. */
+/* Updates the metric gauges of P. */
 void
 cc_forward_pool_write_gauges (const CcForwardPool *p)
 {
--- a/forward_pool.h
+++ b/forward_pool.h
@@ -1,4 +1,4 @@
-/* What an entry keeps of one pool of upstreams. */
+/* The state that a gateway keeps for each pool of upstreams. */
 #ifndef CC_FORWARD_POOL_H
 #define CC_FORWARD_POOL_H
 
@@ -11,12 +11,12 @@
 typedef struct
 {
   char *name;
-  CcBacklog backlog;     /* requests that wait for room */
-  CcKeyRanges ranges;    /* of its keys, if they are owned */
-  CcRetryBudget budget;  /* for repeats */
-  CcWorkTimes times;     /* that work takes at its upstreams */
-  CcPoolLoad load;       /* of its upstreams */
-  guint connections_max; /* to one upstream, of this entry; 0: no bound */
+  CcBacklog backlog;     /* requests that wait for capacity */
+  CcKeyRanges ranges;    /* owners of its keys; empty if it has none */
+  CcRetryBudget budget;  /* for repeated attempts */
+  CcWorkTimes times;     /* service times at its upstreams */
+  CcPoolLoad load;       /* load of its upstreams */
+  guint connections_max; /* from this gateway to one upstream; 0: no limit */
 } CcForwardPool;
 
 CcForwardPool *cc_forward_pool_new (const char *name, const CcView *state);
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -1,8 +1,6 @@
-/* What becomes of a request when its attempts end badly.
- *
- * What callers would see if it failed: a booking made twice, or a "not run"
- * for one that was made.  Each case gives the ends of the attempts in order;
- * every upstream that is tried answers the next of them. */
+/* Guards against a once-only request that runs twice, or is reported "not run"
+ * after it ran, because an attempt failed.  Each case lists the results of its
+ * successive attempts and the result expected for the caller. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -18,7 +16,7 @@
 
 #define ATTEMPTS_MAX 4
 
-/* How one attempt ends. */
+/* The result of one attempt. */
 typedef enum
 {
   NONE,
@@ -28,19 +26,19 @@
   SHED_503,
   OTHER_421,
   UNSIGNED_200,
-  OTHERS_ECHO,
+  WRONG_ECHO,
   UNSENT,
   LOST,
   LATE
-} Script;
+} AttemptEnd;
 
 typedef struct
 {
   const char *name;
   gboolean idempotent;
-  guint attempts; /* that the route allows */
-  Script script[ATTEMPTS_MAX];
-  guint sent; /* attempts that were made */
+  guint attempts; /* limit of the route */
+  AttemptEnd script[ATTEMPTS_MAX];
+  guint sent; /* attempts expected */
   CcExchangeOutcome end;
   const char *reason;
   guint status;
@@ -90,7 +88,7 @@
   { "once-only, another's answer",
     FALSE,
     2,
-    { OTHERS_ECHO, OK_200 },
+    { WRONG_ECHO, OK_200 },
     1,
     CC_EXCHANGE_UNKNOWN,
     "not-its-answer",
@@ -193,7 +191,7 @@
     504 },
 };
 
-/* ---- the upstreams, in place of http_link.c ---- */
+/* ---- fake upstreams, which replace http_link.c ---- */
 
 typedef struct
 {
@@ -229,7 +227,7 @@
   g_free (c);
 }
 
-/* In place of load_reporter.c: nobody counts keys here. */
+/* Replaces load_reporter.c; key counts are not tested here. */
 void
 cc_load_reporter_count (CcLoadReporter *l, const char *pool, guint key)
 {
@@ -268,7 +266,7 @@
 #define SIGNED "X-Response-Signature=s"
 
 static void
-play (Script script)
+play (AttemptEnd script)
 {
   g_autofree Call *c = g_queue_pop_head (net.calls);
   g_autoptr (GVariant) headers = NULL;
@@ -295,7 +293,7 @@
     case UNSIGNED_200:
       r = answer (200, "X-None=1", &headers);
       break;
-    case OTHERS_ECHO:
+    case WRONG_ECHO:
       r = answer (200, "X-Id=1", &headers);
       break;
     case UNSENT:
@@ -339,7 +337,7 @@
   g_strlcpy (o->reason, e->reason, sizeof o->reason);
 }
 
-/* A row is an address, and maybe a word. */
+/* A row holds an address and optionally a state. */
 static gboolean
 decode (const char *key, const char *value, CcListing *l)
 {
@@ -422,7 +420,7 @@
   return cc_exchange_begin (w->forwarder, &s, on_end, o);
 }
 
-/* Lets some requests go well, and time pass, so that there is a budget. */
+/* Lets requests succeed, so that the retry budget has tokens. */
 static void
 earn_budget (World *w)
 {
@@ -480,10 +478,9 @@
     }
 }
 
-/* A pool where everything is shed, for 8 s of a window of 10 s: after the
- * budget is spent nothing is sent again, however many requests come, and each
- * is told at once when to return.
- */
+/* Guards against a retry storm: a pool sheds all requests for 8 s of a window
+ * of 10 s.  Once the budget is spent nothing is repeated, and each caller gets
+ * its Retry-After at once. */
 static void
 repeats_are_bounded_by_the_budget (void **state)
 {
@@ -513,8 +510,8 @@
   world_clear (&w);
 }
 
-/* The caller left.  Idempotent work is ended at the server, once-only work goes
- * on and its answer goes to nobody. */
+/* After a caller disconnected, idempotent work is aborted at the server;
+ * once-only work continues and its answer is dropped. */
 static void
 a_caller_that_left_ends_idempotent_work_only (void **state)
 {
@@ -536,19 +533,18 @@
     }
 }
 
-/* An operator asks whether a request was sent to an upstream after it had
- * ended.  Its end tells how long the upstream had been leaving at most when it
- * was sent there, by when the row was written and not by when it was heard of.
- */
+/* Guards against a wrong "leaving" time in the result, by which operators check
+ * whether a request was sent to an upstream that had exited.  It must count
+ * from when the row was written, not from when it was received. */
 static void
-what_goes_to_one_that_leaves_tells_for_how_long_it_had_been (void **state)
+result_reports_how_long_the_target_had_been_leaving (void **state)
 {
   static const struct
   {
     const char *row;
-    gint64 heard_ms; /* after the row was written */
+    gint64 received_ms; /* after the row was written */
     gint64 sent_ms;
-    gint64 leaving_ms; /* told; -1: it was not leaving */
+    gint64 leaving_ms; /* reported; -1: it was not leaving */
   } table[] = {
     { "10.0.0.1:80 ready", 10, 200, -1 },
     { "10.0.0.1:80 leaving", 0, 0, 0 },
@@ -578,10 +574,10 @@
       cc_forwarder_ranges_changed (w.forwarder, &w.state, changed);
       cc_version_clock_note (&clock, 5, cc_clock_now ());
       cc_view_put (&w.view, "s1", 6, table[i].row);
-      cc_clock_advance (table[i].heard_ms * CC_MS);
+      cc_clock_advance (table[i].received_ms * CC_MS);
       cc_targets_update (&w.targets, &listed, decode, cc_clock_now (),
                          ignore_change, NULL);
-      cc_clock_advance ((table[i].sent_ms - table[i].heard_ms) * CC_MS);
+      cc_clock_advance ((table[i].sent_ms - table[i].received_ms) * CC_MS);
       begin (&w, &o);
       play (OK_200);
       assert_true (o.ended);
@@ -600,8 +596,7 @@
     cmocka_unit_test (requests_end_as_the_cases_say),
     cmocka_unit_test (repeats_are_bounded_by_the_budget),
     cmocka_unit_test (a_caller_that_left_ends_idempotent_work_only),
-    cmocka_unit_test (
-        what_goes_to_one_that_leaves_tells_for_how_long_it_had_been),
+    cmocka_unit_test (result_reports_how_long_the_target_had_been_leaving),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
