--- a/gateway.c
+++ b/gateway.c
@@ -1,6 +1,10 @@
-/* capercrank-gateway: takes callers' requests and sends them straight to the
- * upstreams, for pools whose upstreams check who owns a key or own none.  One
- * process an instance; one of them all grants the keys (granter.c). */
+/* capercrank-gateway: accepts callers' requests and forwards them directly to
+ * upstreams, for pools whose upstreams check key ownership themselves or own no
+ * keys.  Each instance runs one process; one process of the fleet is the
+ * granter, which gives keys to upstreams (granter.c).
+ *
+ * This file connects the modules of the process and handles its start, its
+ * readiness and its drain. */
 #include <glib-unix.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -23,57 +27,59 @@
 #include "settings.h"
 #include "timers.h"
 
-/* Until the balancer sends no new connections: it asks once a second and goes
- * by two answers. */
+/* Time until the load balancer stops sending new connections to a draining
+ * process: it polls readiness once a second and acts after two failures. */
 #define DRAIN_QUIET (2600 * CC_MS)
-/* Part of the time until the platform kills the process that is used. */
+/* Part of the stop grace period that is left unused, so that the process exits
+ * before the platform kills it. */
 #define DRAIN_RESERVE (400 * CC_MS)
 #define DRAIN_POLL (50 * CC_MS)
-#define RECHECK (250 * CC_MS) /* of upstreams that are missing */
-#define FLUSH (1 * CC_SECOND) /* of log lines that found no room */
-/* Part of the time for which an upstream that leaves still serves that is not
- * used: a connection to it may take 200 ms to stand (forward.c), and the
- * request 50 ms to be written and to arrive. */
+#define TARGETS_RECHECK (250 * CC_MS) /* period while upstreams are missing */
+#define LOG_FLUSH_PERIOD (1 * CC_SECOND) /* for buffered log lines */
+/* A leaving upstream gets no requests in this last part of the time for which
+ * it still serves: connecting may take 200 ms (forward.c), and writing and
+ * delivering the request 50 ms. */
 #define LEAVING_RESERVE (250 * CC_MS)
-/* Granting takes a twentieth of a core for each hundred ranges.  When a fleet
- * starts for the first time, processes with less than STRONG cores leave the
- * lease to others for a while; callers come later. */
-#define STRONG 0.3
-#define PATIENCE (1500 * CC_MS)
-/* When a fleet starts for the first time, the strong ones read who is there
- * once most have registered, the others once one of those grants keys. */
+/* The granter needs a twentieth of a core per hundred key ranges.  When a fleet
+ * starts for the first time, processes with fewer cores than this delay taking
+ * the lease, so that a larger one gets it; no callers are connected yet. */
+#define GRANTER_CORES 0.3
+#define SMALL_PROCESS_LEASE_DELAY (1500 * CC_MS)
+/* Delay of the first table read when a fleet starts for the first time.
+ * Processes with GRANTER_CORES or more read when most members have registered,
+ * smaller ones when one of the larger ones grants keys. */
 #define FIRST_START_PAUSE (700 * CC_MS)
-#define FIRST_START_PAUSE_WEAK (2 * CC_SECOND)
+#define FIRST_START_PAUSE_SMALL (2 * CC_SECOND)
 
 typedef struct
 {
   const CcSetting *settings;
   const char *instance;
-  char *address;        /* for peers */
+  char *address;        /* for peers, IP:PORT */
   gboolean first_start; /* of the whole fleet */
   CcHttp *http;
-  CcHttp *grants_http; /* its connections last as long as their peers do,
-                          whatever becomes of requests */
+  CcHttp *grants_http; /* separate from HTTP, so that failed requests never
+                          close the connections of grants */
   CcTable *table;
   CcMirror *mirror;
   CcTargets targets;
-  gboolean targets_changed; /* since the granter was last told */
-  gboolean cut_off;         /* by the last check (isolation.h) */
+  gboolean targets_changed; /* since the granter was last notified */
+  gboolean cut_off;         /* result of the last check (isolation.h) */
   CcForwarder *forwarder;
   CcCallers *callers;
   CcGranter *granter;
   SoupServer *readiness;
   CcPeerServer *peers;
-  guint64 routes_version; /* of the row in force */
-  gint64 routes_since;    /* when that was taken, us */
+  guint64 routes_version;   /* of the last configuration row read */
+  gint64 routes_applied_at; /* us */
   CcMembers *members;
   CcTimer recheck;
   CcTimer flush;
-  CcTimer report_due;
+  CcTimer report_timer;
   CcLoadReporter *reporter;
   CcTimer drain;
-  gint64 stop_at; /* 0: not stopping */
-  gint64 quiet_at;
+  gint64 stop_at;  /* exits by then, us; 0: not draining */
+  gint64 quiet_at; /* no new connections are expected after this, us */
 } Gateway;
 
 static void update_targets (gpointer data);
@@ -95,7 +101,7 @@
                                     ((CcRoutePool *) value)->connections_max);
 }
 
-/* How long ago ROW was written at most, us; -1: not known. */
+/* Upper bound on the age of ROW, us; -1: unknown. */
 static gint64
 row_age (const Gateway *g, const CcRow *row)
 {
@@ -105,10 +111,11 @@
   return written == CC_LONG_AGO ? -1 : cc_clock_now () - written;
 }
 
-/* ROUTES, read from ROW in READ_TIME us, are in force. */
+/* Logs that ROUTES, parsed from ROW in READ_TIME us, were applied, and records
+ * the delay since ROW was written. */
 static void
-note_configuration (const Gateway *g, const CcRow *row, const CcRoutes *routes,
-                    gint64 read_time)
+log_configuration (const Gateway *g, const CcRow *row, const CcRoutes *routes,
+                   gint64 read_time)
 {
   gint64 age = row_age (g, row);
 
@@ -126,7 +133,7 @@
 }
 
 static void
-take_configuration (Gateway *g)
+apply_configuration (Gateway *g)
 {
   const CcRow *row = cc_view_get (cc_mirror_view (g->mirror, CC_TABLE_CONFIG),
                                   cc_edge_routes_key ());
@@ -135,8 +142,9 @@
   char *why = NULL;
   CcRoutes *routes;
 
-  /* Reading a large one takes a weak machine half a second, in which what is
-   * still running is not answered and the stop is late. */
+  /* No configuration is read at the end of a drain: parsing a large one takes
+   * half a second on a small machine, which delays the answers to requests in
+   * progress and the exit. */
   if (row == NULL || row->version <= g->routes_version ||
       cc_callers_rejects_all (g->callers))
     return;
@@ -150,20 +158,21 @@
       cc_routes_free (routes);
       return;
     }
-  g->routes_since = cc_clock_now ();
+  g->routes_applied_at = cc_clock_now ();
   cc_callers_configure (g->callers, routes);
   cc_granter_configure (g->granter, routes);
   bound_connections (g);
-  note_configuration (g, row, routes, g->routes_since - begun);
+  log_configuration (g, row, routes, g->routes_applied_at - begun);
 }
 
 /* ---- upstreams ---- */
 
 static const char *const state_names[] = { "ready", "leaving", "gone" };
 
-/* An upstream leaves or is gone, by news of AGE us; -1: not known. */
+/* Records that an upstream began to leave or is gone, by an update that is AGE
+ * us old; -1: unknown. */
 static void
-note_departure (gint64 age)
+record_departure (gint64 age)
 {
   if (age >= 0)
     cc_histogram_add (
@@ -186,7 +195,7 @@
             cc_event_int (age < 0 ? -1 : age / CC_MS), NULL);
   if (t->state == CC_TARGET_READY)
     return;
-  note_departure (age);
+  record_departure (age);
   cc_http_close_idle (g->http, t->listing.address);
 }
 
@@ -201,7 +210,7 @@
 
   if (cc_targets_update (&g->targets, &listed, cc_edge_read_listing,
                          cc_clock_now (), on_target_changed, g))
-    cc_timer_start (&g->recheck, RECHECK, update_targets, g);
+    cc_timer_start (&g->recheck, TARGETS_RECHECK, update_targets, g);
   if (g->targets_changed)
     cc_granter_targets_changed (g->granter, cc_mirror_outage (g->mirror));
   g->targets_changed = FALSE;
@@ -223,7 +232,7 @@
 }
 
 static gboolean
-are_of_members (const GPtrArray *rows)
+include_member_rows (const GPtrArray *rows)
 {
   for (guint i = 0; i < rows->len; i++)
     if (cc_members_reads_row (((const CcRow *) rows->pdata[i])->key))
@@ -232,7 +241,7 @@
 }
 
 static void
-take_members (Gateway *g)
+update_members (Gateway *g)
 {
   CcMirrorRole role;
   guint count;
@@ -266,7 +275,8 @@
   cc_granter_work (((Gateway *) data)->granter, target, work, answers);
 }
 
-/* Adds what this entry saw each owner of keys work to its next report. */
+/* Adds the work observed at each key owner since the last report to the next
+ * one. */
 static void
 report_work (Gateway *g)
 {
@@ -296,21 +306,21 @@
 }
 
 static void
-on_report_due (gpointer data)
+on_report_timer (gpointer data)
 {
   Gateway *g = data;
   g_autofree char *address = cc_members_report_address (g->members);
   gint64 period = cc_members_is_relay (g->members) ? CC_LOAD_RELAY_PERIOD
                                                    : CC_LOAD_REPORT_PERIOD;
 
-  cc_timer_start (&g->report_due, period, on_report_due, g);
+  cc_timer_start (&g->report_timer, period, on_report_timer, g);
   if (address == NULL)
     return;
   report_work (g);
   cc_load_reporter_send (g->reporter, address);
 }
 
-/* ---- rows that changed ---- */
+/* ---- changed rows ---- */
 
 static void
 on_lease_renewed (guint64 version, gint64 sent, GVariant *rows, gpointer data)
@@ -319,7 +329,7 @@
 }
 
 static void
-take_lease_version (Gateway *g)
+update_lease_version (Gateway *g)
 {
   gint64 seen_at;
   guint64 version = cc_mirror_lease (g->mirror, &seen_at);
@@ -336,7 +346,7 @@
   switch (name)
     {
     case CC_TABLE_CONFIG:
-      take_configuration (g);
+      apply_configuration (g);
       break;
     case CC_TABLE_UPSTREAMS:
       update_targets (g);
@@ -344,39 +354,40 @@
     case CC_TABLE_STATE:
       rows = cc_mirror_changed (g->mirror, CC_TABLE_STATE);
       cc_members_join (g->members, cc_mirror_view (g->mirror, CC_TABLE_STATE));
-      if (are_of_members (rows))
-        take_members (g);
+      if (include_member_rows (rows))
+        update_members (g);
       cc_forwarder_ranges_changed (
           g->forwarder, cc_mirror_view (g->mirror, CC_TABLE_STATE), rows);
       break;
     case CC_TABLE_LEASE:
-      take_lease_version (g);
+      update_lease_version (g);
       break;
     }
   cc_peer_server_tell (g->peers);
 }
 
-/* ---- the ports beside the callers' ---- */
+/* ---- readiness, metrics and other ports ---- */
 
-/* Checks whether this process is cut off, and tells callers so. */
+/* Checks whether this process is cut off from its peers.  While it is, callers'
+ * connections are closed after each answer. */
 static void
 check_isolation (Gateway *g)
 {
-  gint64 now = cc_clock_now (), heard_at = cc_mirror_heard_at (g->mirror);
+  gint64 now = cc_clock_now (), received_at = cc_mirror_heard_at (g->mirror);
   gboolean cut_off =
-      heard_at > 0 &&
+      received_at > 0 &&
       cc_isolation_is_cut_off (&g->targets, cc_setting (g->settings, "zone"),
-                               heard_at, now);
+                               received_at, now);
 
   if (cut_off != g->cut_off)
     cc_event (CC_EVENT_STATE, "isolation", "cut_off", cut_off ? "yes" : "no",
-              "silence_ms", cc_event_int ((now - heard_at) / CC_MS), NULL);
+              "silence_ms", cc_event_int ((now - received_at) / CC_MS), NULL);
   g->cut_off = cut_off;
   cc_callers_set_closing (g->callers, cut_off);
 }
 
 static const char *
-why_not_ready (gpointer data)
+not_ready_reason (gpointer data)
 {
   Gateway *g = data;
 
@@ -396,7 +407,7 @@
 on_readiness (SoupServer *server, SoupServerMessage *m, const char *path,
               GHashTable *query, gpointer data)
 {
-  const char *why = why_not_ready (data);
+  const char *why = not_ready_reason (data);
 
   (void) server, (void) path, (void) query;
   cc_http_answer (
@@ -415,14 +426,14 @@
       !cc_http_listen (g->readiness, cc_setting (g->settings, "readiness"),
                        message))
     return FALSE;
-  if (cc_admin_listen (cc_setting (g->settings, "admin"), why_not_ready, g,
+  if (cc_admin_listen (cc_setting (g->settings, "admin"), not_ready_reason, g,
                        message) == NULL)
     return FALSE;
   return cc_callers_listen (g->callers, cc_setting (g->settings, "listen"),
                             message);
 }
 
-/* Called when somebody reads the metrics. */
+/* Updates the gauges; called before each read of the metrics. */
 static void
 on_metrics (gpointer data)
 {
@@ -449,7 +460,7 @@
       cc_metrics_gauge ("capercrank_configuration_version", "",
                         (double) routes->version);
       cc_metrics_gauge ("capercrank_configuration_age_seconds", "",
-                        (double) (now - g->routes_since) / 1e6);
+                        (double) (now - g->routes_applied_at) / 1e6);
     }
   if (resident > 0)
     cc_metrics_gauge ("capercrank_resident_bytes", "", (double) resident);
@@ -461,14 +472,14 @@
 {
   Gateway *g = data;
 
-  cc_timer_start (&g->flush, FLUSH, on_flush, g);
+  cc_timer_start (&g->flush, LOG_FLUSH_PERIOD, on_flush, g);
   cc_event_flush ();
 }
 
-/* ---- start and end ---- */
+/* ---- start and stop ---- */
 
 static void
-leave (Gateway *g)
+exit_process (Gateway *g)
 {
   cc_event (CC_EVENT_STATE, "stopped", "unanswered",
             cc_event_int (cc_callers_pending (g->callers)), NULL);
@@ -477,7 +488,7 @@
 }
 
 static void
-on_draining (gpointer data)
+on_drain_poll (gpointer data)
 {
   Gateway *g = data;
   gint64 now = cc_clock_now ();
@@ -485,8 +496,8 @@
   if (now >= g->stop_at ||
       (now >= g->quiet_at && cc_callers_pending (g->callers) == 0 &&
        cc_granter_has_resigned (g->granter)))
-    leave (g);
-  cc_timer_start (&g->drain, DRAIN_POLL, on_draining, g);
+    exit_process (g);
+  cc_timer_start (&g->drain, DRAIN_POLL, on_drain_poll, g);
 }
 
 static gboolean
@@ -503,7 +514,7 @@
             cc_event_int (cc_callers_pending (g->callers)), NULL);
   cc_callers_drain (g->callers, g->quiet_at, g->stop_at);
   cc_granter_resign (g->granter);
-  cc_timer_start (&g->drain, DRAIN_POLL, on_draining, g);
+  cc_timer_start (&g->drain, DRAIN_POLL, on_drain_poll, g);
   return G_SOURCE_CONTINUE;
 }
 
@@ -511,8 +522,8 @@
 on_reload (gpointer data)
 {
   (void) data;
-  /* All settings are of the machine and fixed for a run; what changes while a
-   * process runs comes through the table. */
+  /* All settings describe the machine and are fixed while the process runs;
+   * what can change comes through the table. */
   cc_event (CC_EVENT_STATE, "reload", "changed", "none", NULL);
   return G_SOURCE_CONTINUE;
 }
@@ -526,8 +537,8 @@
 /* Reads the setting NAME, which is "true" or "false", into *VALUE.  FALSE with
  * *MESSAGE, to be freed, if it is neither. */
 static gboolean
-read_switch (const Gateway *g, const char *name, gboolean *value,
-             char **message)
+read_boolean (const Gateway *g, const char *name, gboolean *value,
+              char **message)
 {
   const char *text = cc_setting (g->settings, name);
 
@@ -543,7 +554,7 @@
 build (Gateway *g, char **message)
 {
   double cores = cores_of (g);
-  CcForwarderSetup forwarding = {
+  CcForwarderSetup forwarder_setup = {
     .targets = &g->targets,
     .zone = cc_setting (g->settings, "zone"),
     .retry_bound = { .ratio = g_ascii_strtod (
@@ -553,25 +564,28 @@
                      .window = cc_setting_number (g->settings, "retry-window") *
                                CC_SECOND }
   };
-  CcGranterSetup granting = { .targets = &g->targets,
-                              .instance = g->instance,
-                              .address = g->address,
-                              .renewed = on_lease_renewed,
-                              .data = g,
-                              .patience = cores < STRONG ? PATIENCE : 0 };
-  CcMembersSetup joining = { .instance = g->instance,
-                             .address = g->address,
-                             .zone = cc_setting (g->settings, "zone"),
-                             .cores = cores,
-                             .seeds = cc_setting_list (g->settings, "seeds") };
-  CcMirrorSetup following = { .changed = on_rows,
-                              .peer = pick_peer,
-                              .peer_ended = on_peer_ended,
-                              .data = g,
-                              /* At a first start there are no others. */
-                              .members_from =
-                                  g->first_start ? NULL : CC_MEMBERS_FROM,
-                              .members_to = CC_MEMBERS_TO };
+  CcGranterSetup granter_setup = { .targets = &g->targets,
+                                   .instance = g->instance,
+                                   .address = g->address,
+                                   .renewed = on_lease_renewed,
+                                   .data = g,
+                                   .patience = cores < GRANTER_CORES
+                                                   ? SMALL_PROCESS_LEASE_DELAY
+                                                   : 0 };
+  CcMembersSetup members_setup = { .instance = g->instance,
+                                   .address = g->address,
+                                   .zone = cc_setting (g->settings, "zone"),
+                                   .cores = cores,
+                                   .seeds =
+                                       cc_setting_list (g->settings, "seeds") };
+  CcMirrorSetup mirror_setup = { .changed = on_rows,
+                                 .peer = pick_peer,
+                                 .peer_ended = on_peer_ended,
+                                 .data = g,
+                                 /* At a first start there are no peers. */
+                                 .members_from =
+                                     g->first_start ? NULL : CC_MEMBERS_FROM,
+                                 .members_to = CC_MEMBERS_TO };
   g_autofree char *ip = NULL;
 
   cc_address_parse (g->address, &ip, NULL);
@@ -587,18 +601,18 @@
                                       g, message);
   if (g->reporter == NULL)
     return FALSE;
-  forwarding.reporter = g->reporter;
-  forwarding.http = g->http;
-  granting.http = g->grants_http;
-  granting.table = g->table;
-  g->forwarder = cc_forwarder_new (&forwarding);
+  forwarder_setup.reporter = g->reporter;
+  forwarder_setup.http = g->http;
+  granter_setup.http = g->grants_http;
+  granter_setup.table = g->table;
+  g->forwarder = cc_forwarder_new (&forwarder_setup);
   g->callers = cc_callers_new (g->forwarder);
-  g->granter = cc_granter_new (&granting);
-  following.table = g->table;
-  following.http = g->http;
-  g->mirror = cc_mirror_new (&following);
-  joining.table = g->table;
-  g->members = cc_members_new (&joining);
+  g->granter = cc_granter_new (&granter_setup);
+  mirror_setup.table = g->table;
+  mirror_setup.http = g->http;
+  g->mirror = cc_mirror_new (&mirror_setup);
+  members_setup.table = g->table;
+  g->members = cc_members_new (&members_setup);
   cc_metrics_collect (on_metrics, g);
   return TRUE;
 }
@@ -608,7 +622,8 @@
 {
   if (!g->first_start)
     return 0;
-  return cores_of (g) < STRONG ? FIRST_START_PAUSE_WEAK : FIRST_START_PAUSE;
+  return cores_of (g) < GRANTER_CORES ? FIRST_START_PAUSE_SMALL
+                                      : FIRST_START_PAUSE;
 }
 
 static int
@@ -617,7 +632,7 @@
   g_autofree char *message = NULL;
 
   cc_event_setup ("capercrank-gateway", g->instance, STDOUT_FILENO);
-  if (!read_switch (g, "first-start", &g->first_start, &message) ||
+  if (!read_boolean (g, "first-start", &g->first_start, &message) ||
       !build (g, &message) || !listen_all (g, &message))
     {
       fprintf (stderr, "capercrank-gateway: %s\n", message);
@@ -627,7 +642,7 @@
             cc_setting (g->settings, "zone"), "table",
             cc_setting (g->settings, "table"), NULL);
   cc_mirror_start (g->mirror, start_pause (g));
-  on_report_due (g);
+  on_report_timer (g);
   if (g->first_start)
     cc_members_register (g->members);
   on_flush (g);
@@ -642,29 +657,36 @@
   static CcSetting settings[] = {
     { CC_SETTING_STRING, "instance", NULL, "name of this instance", 0, 0,
       NULL },
-    { CC_SETTING_STRING, "zone", NULL, "its availability zone", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "listen", NULL, "for callers", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "readiness", NULL, "for the balancer", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "internal", NULL, "for peers", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "admin", NULL, "metrics and health", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "table", NULL, "the table service", 0, 0, NULL },
-    { CC_SETTING_STRING, "seeds", "", "addresses of peers to ask first", 0, 0,
+    { CC_SETTING_STRING, "zone", NULL, "availability zone of this instance", 0,
+      0, NULL },
+    { CC_SETTING_ADDRESS, "listen", NULL, "address for callers' requests", 0, 0,
       NULL },
+    { CC_SETTING_ADDRESS, "readiness", NULL,
+      "address for readiness checks by the load balancer", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "internal", NULL, "address for peers", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "admin", NULL,
+      "address for metrics and health checks", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "table", NULL, "address of the table service", 0, 0,
+      NULL },
+    { CC_SETTING_STRING, "seeds", "", "addresses of the peers to contact first",
+      0, 0, NULL },
     { CC_SETTING_STRING, "retry-ratio", "0.2",
-      "repeats at a pool, as a part of its requests", 0, 0, NULL },
-    { CC_SETTING_STRING, "retry-slack", "10", "repeats beyond that part", 0, 0,
+      "repeated attempts at a pool, as a fraction of its requests", 0, 0,
       NULL },
+    { CC_SETTING_STRING, "retry-slack", "10",
+      "repeated attempts allowed beyond that fraction", 0, 0, NULL },
     { CC_SETTING_NUMBER, "retry-window", "10",
-      "seconds over which repeats are counted", 1, 3600, NULL },
-    { CC_SETTING_STRING, "cores", "1",
-      "processor that this process may use, in cores", 0, 0, NULL },
+      "seconds over which repeated attempts are counted", 1, 3600, NULL },
+    { CC_SETTING_STRING, "cores", "1", "CPU cores that this process may use", 0,
+      0, NULL },
     { CC_SETTING_STRING, "first-start", "false",
-      "\"true\": the whole fleet starts for the first time", 0, 0, NULL },
+      "\"true\" if the whole fleet starts for the first time", 0, 0, NULL },
     { CC_SETTING_NUMBER, "leaving-serves", "2000",
-      "ms for which an upstream serves after it said that it leaves", 0, 600000,
-      NULL },
+      "ms for which an upstream serves after it reports that it is leaving", 0,
+      600000, NULL },
     { CC_SETTING_NUMBER, "stop-grace", "6000",
-      "ms from SIGTERM to the end at the latest", 0, 600000, NULL },
+      "ms from SIGTERM until the process exits at the latest", 0, 600000,
+      NULL },
     { 0 }
   };
   Gateway g = { .settings = settings };
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -1,6 +1,6 @@
-/* The real program, started as it is run: bad settings, a table service that is
- * not there, a reader of its log that has stopped, an orderly stop.  What
- * callers must see: an answer at once, and "not run" where nothing can run. */
+/* Guards against a gateway that hangs, or answers anything but "not run", when
+ * it can't serve: bad settings, no table service, a log that is not read, a
+ * stop.  Runs the real program. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -13,7 +13,7 @@
 #include <gio/gio.h>
 
 #define STOP_GRACE "1500"
-#define PORT_FIRST 23000 /* below the ports that the system hands out */
+#define PORT_FIRST 23000 /* below the ephemeral ports */
 
 static char *program;
 static guint port;
@@ -31,8 +31,8 @@
   return g_strdup_printf ("127.0.0.1:%u", port++);
 }
 
-/* A gateway whose settings are complete, but for NAME, which is VALUE; NULL:
- * left out. */
+/* Starts a gateway with complete settings, except that NAME has VALUE; NULL:
+ * NAME is not set. */
 static Gateway
 start_with (const char *name, const char *value)
 {
@@ -74,8 +74,8 @@
   g_free (g->readiness);
 }
 
-/* The status of the answer to a GET of PATH at ADDRESS with MORE headers, each
- * line with CRLF; 0: none. */
+/* The status of the answer to a GET of PATH at ADDRESS with the additional
+ * headers MORE, each line with CRLF; 0: no answer. */
 static guint
 get_with (const char *address, const char *path, const char *more)
 {
@@ -120,9 +120,9 @@
 typedef struct
 {
   const char *setting;
-  const char *value; /* NULL: left out */
-  const char *named; /* in the message */
-  int status;        /* of the exit */
+  const char *value; /* NULL: not set */
+  const char *named; /* expected in the error message */
+  int status;        /* exit status */
 } BadSetting;
 
 static const BadSetting bad_settings[] = {
@@ -147,8 +147,8 @@
     }
 }
 
-/* Neither configuration nor upstreams are known: not ready, callers are told
- * "not run", and the program goes on. */
+/* Without configuration and upstreams the program is not ready, answers callers
+ * "not run", and keeps running. */
 static void
 without_a_table_callers_are_told_not_run (void **state)
 {
@@ -164,19 +164,19 @@
 
 typedef struct
 {
-  guint lines, width; /* of headers beside the usual ones */
+  guint lines, width; /* of the additional headers */
   guint status;
 } HeadersCase;
 
-/* 503: no configuration is known, but the request was read. */
+/* 503: there is no configuration, but the request was read. */
 static const HeadersCase headers_cases[] = {
   { 0, 0, 503 },    { 1, 30000, 503 }, { 1, 33000, 431 },
   { 400, 60, 503 }, { 400, 100, 431 },
 };
 
-/* Headers beyond the bound are refused, in one line or in many; without it, one
- * caller makes the gateway hold and send on as much as the HTTP library takes.
- */
+/* Headers above the limit are refused, in one line or in many.  Without a limit
+ * one caller makes the gateway store and forward as much as the HTTP library
+ * accepts. */
 static void
 too_many_bytes_of_headers_are_refused (void **state)
 {
@@ -198,8 +198,8 @@
   end (&g);
 }
 
-/* Nobody reads standard output: after more lines than a pipe holds the program
- * still answers. */
+/* Guards against a program that blocks on its log: standard output is a full
+ * pipe that is not read. */
 static void
 a_log_that_nobody_reads_blocks_nothing (void **state)
 {
