--- a/caller_connection.c
+++ b/caller_connection.c
@@ -1,33 +1,34 @@
-/* The HTTP library hands out a request's target in its normal form only
- * (RFC 3986, 6.2.2): a server would get `/~a` for `/%7Ea`.  So the bytes that
- * it reads from a caller pass a second parser, which notes each target.
+/* libsoup provides a request target only in normalized form (RFC 3986, 6.2.2):
+ * a server would get `/~a` for `/%7Ea`.  So the bytes that libsoup reads from a
+ * caller also pass through a second parser, which records each target.
  *
- * The two parsers may disagree about what a request is.  A noted target is
- * therefore used only for the message at the same place on its connection, and
- * only if it has the normal form that the library found. */
+ * The two parsers may disagree on where a request begins.  A recorded target is
+ * therefore used only for the message at the same position on its connection,
+ * and only if its normal form is the one that libsoup found. */
 #include "caller_connection.h"
 
 #include <http_parser.h>
 #include <string.h>
 
-#define STREAM_KEY "capercrank-stream"   /* of a connection */
-#define TARGETS_KEY "capercrank-targets" /* ... of its socket */
-#define TARGET_KEY "capercrank-target"   /* ... of a message of it */
+/* Keys of object data. */
+#define STREAM_KEY "capercrank-stream"   /* of a GSocketConnection */
+#define TARGETS_KEY "capercrank-targets" /* of its GSocket */
+#define TARGET_KEY "capercrank-target"   /* of a SoupServerMessage */
 
-/* Notes the targets of one connection. */
+/* Records the request targets of one connection. */
 typedef struct
 {
   http_parser parser;
-  gboolean broken; /* the parser has given up */
-  GString *target; /* of the message that is read */
-  GQueue targets;  /* of char *, of messages whose head was read */
-} Targets;
+  gboolean failed; /* the parser found an error; its data is ignored */
+  GString *target; /* of the message being read */
+  GQueue targets;  /* of char *, of messages whose headers were read */
+} RequestTargets;
 
-/* The bytes of a connection, which its parser sees as well. */
+/* An input stream that also passes the bytes read to a parser. */
 typedef struct
 {
   GFilterInputStream parent;
-  Targets *targets;
+  RequestTargets *targets;
   GSocket *socket; /* owns TARGETS */
 } CcTargetStream;
 
@@ -49,7 +50,7 @@
 static int
 on_url (http_parser *p, const char *at, size_t length)
 {
-  Targets *t = p->data;
+  RequestTargets *t = p->data;
 
   g_string_append_len (t->target, at, (gssize) length);
   return 0;
@@ -58,7 +59,7 @@
 static int
 on_headers_complete (http_parser *p)
 {
-  Targets *t = p->data;
+  RequestTargets *t = p->data;
 
   g_queue_push_tail (&t->targets, g_strdup (t->target->str));
   g_string_truncate (t->target, 0);
@@ -70,10 +71,10 @@
   .on_headers_complete = on_headers_complete,
 };
 
-static Targets *
+static RequestTargets *
 targets_new (void)
 {
-  Targets *t = g_new0 (Targets, 1);
+  RequestTargets *t = g_new0 (RequestTargets, 1);
 
   http_parser_init (&t->parser, HTTP_REQUEST);
   t->parser.data = t;
@@ -85,7 +86,7 @@
 static void
 targets_free (gpointer data)
 {
-  Targets *t = data;
+  RequestTargets *t = data;
 
   g_string_free (t->target, TRUE);
   g_queue_clear_full (&t->targets, g_free);
@@ -93,11 +94,11 @@
 }
 
 static void
-targets_read (Targets *t, const char *bytes, gssize count)
+targets_parse (RequestTargets *t, const char *bytes, gssize count)
 {
-  if (t->broken || count <= 0)
+  if (t->failed || count <= 0)
     return;
-  t->broken = http_parser_execute (&t->parser, &settings, bytes,
+  t->failed = http_parser_execute (&t->parser, &settings, bytes,
                                    (size_t) count) != (size_t) count ||
               t->parser.upgrade != 0;
 }
@@ -113,7 +114,7 @@
       g_input_stream_read (g_filter_input_stream_get_base_stream (&s->parent),
                            buffer, count, cancellable, error);
 
-  targets_read (s->targets, buffer, n);
+  targets_parse (s->targets, buffer, n);
   return n;
 }
 
@@ -130,8 +131,8 @@
   return g_pollable_input_stream_is_readable (base_of (stream));
 }
 
-/* Of the socket itself: the base stream's source would be one more to visit in
- * each iteration of the main loop, for each connection. */
+/* Uses a source of the socket itself: the base stream's source would add one
+ * more source per connection to each iteration of the main loop. */
 static GSource *
 stream_create_source (GPollableInputStream *stream, GCancellable *cancellable)
 {
@@ -149,7 +150,7 @@
   gssize n = g_pollable_input_stream_read_nonblocking (base_of (stream), buffer,
                                                        count, NULL, error);
 
-  targets_read (s->targets, buffer, n);
+  targets_parse (s->targets, buffer, n);
   return n;
 }
 
@@ -186,25 +187,26 @@
 
 /* ---- the connection ---- */
 
-static GHashTable *listening; /* set of ports at which callers connect */
+static GHashTable *caller_ports; /* set of ports on which callers connect */
 
 static gboolean
-is_callers (GSocket *socket)
+is_caller_connection (GSocket *socket)
 {
   g_autoptr (GSocketAddress) at = g_socket_get_local_address (socket, NULL);
 
   return G_IS_INET_SOCKET_ADDRESS (at) &&
          g_hash_table_contains (
-             listening, GUINT_TO_POINTER (g_inet_socket_address_get_port (
-                            G_INET_SOCKET_ADDRESS (at))));
+             caller_ports, GUINT_TO_POINTER (g_inet_socket_address_get_port (
+                               G_INET_SOCKET_ADDRESS (at))));
 }
 
-/* GLib's own, of TCP connections. */
-static GInputStream *(*plain_input) (GIOStream *stream);
+/* GLib's implementation for TCP connections. */
+static GInputStream *(*default_get_input_stream) (GIOStream *stream);
 
-/* In place of it: the input of a caller's connection is a CcTargetStream. */
+/* Replaces it: the input stream of a caller's connection is a CcTargetStream.
+ */
 static GInputStream *
-connection_input (GIOStream *stream)
+get_input_stream_recording (GIOStream *stream)
 {
   GSocket *socket =
       g_socket_connection_get_socket (G_SOCKET_CONNECTION (stream));
@@ -212,10 +214,11 @@
 
   if (s != NULL)
     return G_INPUT_STREAM (s);
-  if (!is_callers (socket))
-    return plain_input (stream);
+  if (!is_caller_connection (socket))
+    return default_get_input_stream (stream);
   s = g_object_new (cc_target_stream_get_type (), "base-stream",
-                    plain_input (stream), "close-base-stream", FALSE, NULL);
+                    default_get_input_stream (stream), "close-base-stream",
+                    FALSE, NULL);
   s->targets = targets_new ();
   s->socket = g_object_ref (socket);
   g_object_set_data_full (G_OBJECT (socket), TARGETS_KEY, s->targets,
@@ -224,17 +227,17 @@
   return G_INPUT_STREAM (s);
 }
 
-/* The library makes its connections itself and lets nobody choose their type;
- * GLib's table of types has one for TCP and takes no second.  A listener of our
- * own is no way either: the library ends the connections of a server without
- * one after each request.  So the type's method is replaced. */
+/* libsoup creates its connections itself, with a type that can't be chosen, and
+ * GLib allows only one connection type for TCP.  A separate listener does not
+ * help: libsoup closes the connections of a server that has no listener after
+ * each request.  So the method of GLib's class is replaced. */
 static void
-replace_input (void)
+override_get_input_stream (void)
 {
   GIOStreamClass *class = g_type_class_ref (G_TYPE_TCP_CONNECTION);
 
-  plain_input = class->get_input_stream;
-  class->get_input_stream = connection_input;
+  default_get_input_stream = class->get_input_stream;
+  class->get_input_stream = get_input_stream_recording;
 }
 
 /* ---- the server ---- */
@@ -243,9 +246,9 @@
 on_got_headers (SoupServerMessage *m, gpointer data)
 {
   GSocket *socket = soup_server_message_get_socket (m);
-  Targets *t = socket != NULL
-                   ? g_object_get_data (G_OBJECT (socket), TARGETS_KEY)
-                   : NULL;
+  RequestTargets *t = socket != NULL
+                          ? g_object_get_data (G_OBJECT (socket), TARGETS_KEY)
+                          : NULL;
 
   (void) data;
   if (t != NULL)
@@ -260,22 +263,23 @@
   g_signal_connect (m, "got-headers", G_CALLBACK (on_got_headers), NULL);
 }
 
-/* Has SERVER keep the targets of requests that come to PORT as they were
- * written.  Other connections of this process are read as before. */
+/* Records the targets of requests that SERVER receives on PORT, for
+ * cc_caller_target.  Other connections of the process are not affected. */
 void
 cc_caller_targets_record (SoupServer *server, guint port)
 {
-  if (listening == NULL)
+  if (caller_ports == NULL)
     {
-      listening = g_hash_table_new (NULL, NULL);
-      replace_input ();
+      caller_ports = g_hash_table_new (NULL, NULL);
+      override_get_input_stream ();
     }
-  g_hash_table_add (listening, GUINT_TO_POINTER (port));
+  g_hash_table_add (caller_ports, GUINT_TO_POINTER (port));
   g_signal_connect (server, "request-started", G_CALLBACK (on_request_started),
                     NULL);
 }
 
-/* Whether TEXT is a path with or without a query, and nothing else. */
+/* Whether TEXT is in origin form (RFC 9112, 3.2.1): a path and optionally a
+ * query. */
 static gboolean
 is_origin_form (const char *text)
 {
@@ -287,9 +291,10 @@
   return TRUE;
 }
 
-/* TARGET from its path on; NULL: it has none. */
+/* TARGET from its path on, without scheme and authority; NULL: it has no path.
+ */
 static const char *
-path_of (const char *target)
+skip_authority (const char *target)
 {
   const char *authority = strstr (target, "://");
 
@@ -298,9 +303,9 @@
   return authority != NULL ? strchr (authority + strlen ("://"), '/') : NULL;
 }
 
-/* Whether TARGET is PATH, with QUERY if that is not NULL. */
+/* Whether TARGET equals PATH, followed by QUERY if that is not NULL. */
 static gboolean
-is_written_so (const char *target, const char *path, const char *query)
+equals_path_and_query (const char *target, const char *path, const char *query)
 {
   gsize length = strlen (path);
 
@@ -311,32 +316,34 @@
              : target[length] == '\0';
 }
 
-/* Whether the normal form of TARGET is that of URI.  Most are written so. */
+/* Whether TARGET and URI have the same normal form.  Most targets are sent in
+ * normal form, so that case is checked first. */
 static gboolean
-means_the_same (const char *target, GUri *uri)
+is_equivalent (const char *target, GUri *uri)
 {
   g_autofree char *text = NULL;
-  g_autoptr (GUri) own = NULL;
+  g_autoptr (GUri) parsed = NULL;
 
-  if (is_written_so (target, g_uri_get_path (uri), g_uri_get_query (uri)))
+  if (equals_path_and_query (target, g_uri_get_path (uri),
+                             g_uri_get_query (uri)))
     return TRUE;
   text = g_strconcat ("http://a", target, NULL);
-  own = g_uri_parse (text, SOUP_HTTP_URI_FLAGS, NULL);
-  return own != NULL &&
-         g_strcmp0 (g_uri_get_path (own), g_uri_get_path (uri)) == 0 &&
-         g_strcmp0 (g_uri_get_query (own), g_uri_get_query (uri)) == 0;
+  parsed = g_uri_parse (text, SOUP_HTTP_URI_FLAGS, NULL);
+  return parsed != NULL &&
+         g_strcmp0 (g_uri_get_path (parsed), g_uri_get_path (uri)) == 0 &&
+         g_strcmp0 (g_uri_get_query (parsed), g_uri_get_query (uri)) == 0;
 }
 
-/* The path of M's request with its query, as the caller wrote it; NULL if that
- * is not known.  The result lasts as long as M. */
+/* The path of M's request with its query, as the caller sent it; NULL if it was
+ * not recorded.  The result is valid as long as M. */
 const char *
 cc_caller_target (SoupServerMessage *m)
 {
   const char *target = g_object_get_data (G_OBJECT (m), TARGET_KEY);
-  const char *path = target != NULL ? path_of (target) : NULL;
+  const char *path = target != NULL ? skip_authority (target) : NULL;
 
   if (path == NULL || !is_origin_form (path) ||
-      !means_the_same (path, soup_server_message_get_uri (m)))
+      !is_equivalent (path, soup_server_message_get_uri (m)))
     return NULL;
   return path;
 }
--- a/caller_connection.h
+++ b/caller_connection.h
@@ -1,4 +1,4 @@
-/* The targets of callers' requests, as they were written. */
+/* The request targets that callers sent, before normalization. */
 #ifndef CC_CALLER_CONNECTION_H
 #define CC_CALLER_CONNECTION_H
 
--- a/callers.c
+++ b/callers.c
@@ -1,7 +1,9 @@
-/* Takes requests in, finds their route, and hands the ends back as answers.
+/* Receives callers' requests, finds their routes, forwards them, and answers
+ * with the results.
  *
- * Status codes are promises here: 429 and 503 are only used for what no server
- * has run and none will; 502 and 504 promise nothing. */
+ * Callers decide by the status code whether a retry is safe: 429 and 503 are
+ * used only for requests that no server has run or will run; after 502 and 504
+ * the request may have run. */
 #include "callers.h"
 
 #include <string.h>
@@ -14,26 +16,26 @@
 #include "headers.h"
 #include "request_stats.h"
 
-/* When to come back while no configuration is known. */
+/* Retry-After while there is no configuration. */
 #define STARTING_RETRY (300 * CC_MS)
 
-/* When a caller that met a stopping process may come back: it reaches another
- * at once. */
+/* Retry-After of a stopping process: the retry reaches another instance, so it
+ * need not wait. */
 #define STOPPING_RETRY (20 * CC_MS)
 
-/* RFC 6585; libsoup has no name for it. */
+/* RFC 6585; libsoup has no constant for it. */
 #define STATUS_HEADERS_TOO_LARGE 431
 
 struct CcCallers
 {
   SoupServer *server;
   CcForwarder *forwarder;
-  CcRoutes *routes; /* in force; NULL: none known yet */
+  CcRoutes *routes; /* NULL: no configuration yet */
   CcRequestStats *stats;
-  guint pending;   /* requests taken in and not answered */
-  gint64 quiet_at; /* while draining, nothing is taken from then on, us */
-  gint64 stop_at;  /* all must be answered by then, us; 0: not draining */
-  gboolean away;   /* callers are better off elsewhere */
+  guint pending;    /* requests accepted and not answered */
+  gint64 quiet_at;  /* while draining, no request is accepted after this, us */
+  gint64 stop_at;   /* all must be answered by then, us; 0: not draining */
+  gboolean closing; /* each answer closes its connection */
 };
 
 /* One request and its connection. */
@@ -41,7 +43,7 @@
 {
   CcCallers *callers;
   SoupServerMessage *message;
-  CcExchange *exchange; /* NULL: ended */
+  CcExchange *exchange; /* NULL: finished */
   CcHangup hangup;
   CcCallerInfo caller;
   char *pool;
@@ -49,7 +51,8 @@
   gint64 began;
 } Request;
 
-/* Callers of requests that F forwards. */
+/* Returns a server without configuration, which is not listening yet.  F
+ * forwards its requests. */
 CcCallers *
 cc_callers_new (CcForwarder *f)
 {
@@ -63,12 +66,12 @@
 static void
 prepare_answer (CcCallers *c, SoupServerMessage *m)
 {
-  if (c->stop_at != 0 || c->away)
+  if (c->stop_at != 0 || c->closing)
     soup_message_headers_replace (soup_server_message_get_response_headers (m),
                                   "Connection", "close");
 }
 
-/* An answer of our own. */
+/* Answers M on behalf of the gateway itself. */
 static void
 answer (CcCallers *c, SoupServerMessage *m, guint status, const char *reason,
         gint64 retry_after)
@@ -89,8 +92,8 @@
   cc_http_answer (m, status, "application/json", body);
 }
 
-/* Headers of a server's answer that concern its connection, or that the HTTP
- * library writes itself: two of them would be malformed. */
+/* Whether NAME is a hop-by-hop header, or one that the HTTP library writes
+ * itself; a second one would make the message malformed. */
 static gboolean
 is_connection_header (const char *name)
 {
@@ -111,7 +114,7 @@
 }
 
 static void
-hand_on (CcCallers *c, SoupServerMessage *m, const CcExchangeResult *e)
+forward_answer (CcCallers *c, SoupServerMessage *m, const CcExchangeResult *e)
 {
   SoupMessageHeaders *h = soup_server_message_get_response_headers (m);
   SoupMessageBody *body = soup_server_message_get_response_body (m);
@@ -128,16 +131,17 @@
     soup_message_body_append_bytes (body, e->body);
 }
 
-/* What went to an upstream that leaves is rare, and the first thing to look at
- * when that upstream is said to have been sent to for too long; so its lines
- * are not left out with those of what went well. */
+/* Logs the result of R.  A request sent to a leaving upstream is logged like a
+ * failure, even if it succeeded: such requests are rare, and needed to check
+ * whether an upstream was sent requests for too long after it began to leave.
+ */
 static void
-log_end (const Request *r, const CcExchangeResult *e, gint64 took)
+log_result (const Request *r, const CcExchangeResult *e, gint64 took)
 {
   static const char *const kinds[] = { "answered", "not-run", "unknown" };
-  gboolean well =
+  gboolean succeeded =
       e->kind == CC_EXCHANGE_ANSWERED && e->status < 500 && e->leaving < 0;
-  CcEventKind kind = well ? CC_EVENT_SERVED : CC_EVENT_FAILED;
+  CcEventKind kind = succeeded ? CC_EVENT_SERVED : CC_EVENT_FAILED;
 
   if (!cc_event_may (kind))
     return;
@@ -154,11 +158,11 @@
             cc_event_int (e->leaving < 0 ? -1 : e->leaving / CC_MS), NULL);
 }
 
-/* Counts R, which ended as END after TOOK us; E says how, NULL if its caller
- * left before. */
+/* Counts R, which ended as END after TOOK us.  E is its result, or NULL if the
+ * caller disconnected first. */
 static void
-count (const Request *r, CcCountedEnd end, const CcExchangeResult *e,
-       gint64 took)
+count_request (const Request *r, CcCountedEnd end, const CcExchangeResult *e,
+               gint64 took)
 {
   CcRequestRecord record = {
     .end = end, .cause = "", .took = took, .leaving = -1
@@ -177,7 +181,7 @@
 }
 
 static void
-on_end (const CcExchangeResult *e, gpointer data)
+on_result (const CcExchangeResult *e, gpointer data)
 {
   Request *r = data;
   CcCallers *c = r->callers;
@@ -185,20 +189,20 @@
 
   r->exchange = NULL;
   cc_hangup_stop (&r->hangup);
-  log_end (r, e, took);
+  log_result (r, e, took);
   switch (e->kind)
     {
     case CC_EXCHANGE_ANSWERED:
-      count (r, CC_COUNT_ANSWERED, e, took);
-      hand_on (c, r->message, e);
+      count_request (r, CC_COUNT_ANSWERED, e, took);
+      forward_answer (c, r->message, e);
       break;
     case CC_EXCHANGE_NOT_RUN:
-      count (r, CC_COUNT_NOT_RUN, e, took);
+      count_request (r, CC_COUNT_NOT_RUN, e, took);
       answer (c, r->message, SOUP_STATUS_SERVICE_UNAVAILABLE, e->reason,
               e->retry_after);
       break;
     case CC_EXCHANGE_UNKNOWN:
-      count (r, CC_COUNT_UNKNOWN, e, took);
+      count_request (r, CC_COUNT_UNKNOWN, e, took);
       answer (c, r->message,
               g_str_equal (e->reason, "deadline") ? SOUP_STATUS_GATEWAY_TIMEOUT
                                                   : SOUP_STATUS_BAD_GATEWAY,
@@ -226,9 +230,10 @@
   g_free (r);
 }
 
-/* The caller closed: nobody reads the answer that ends the message. */
+/* The caller closed its connection.  The answer only finishes the message and
+ * is not read. */
 static void
-on_gone (gpointer data)
+on_caller_gone (gpointer data)
 {
   Request *r = data;
   CcCallers *c = r->callers;
@@ -237,7 +242,7 @@
   if (r->exchange != NULL)
     cc_exchange_cancel (r->exchange);
   r->exchange = NULL;
-  count (r, CC_COUNT_GONE, NULL, took);
+  count_request (r, CC_COUNT_GONE, NULL, took);
   cc_event (CC_EVENT_FAILED, "caller-gone", "request", r->caller.id, "pool",
             r->pool, "took_ms", cc_event_int (took / CC_MS), NULL);
   answer (c, r->message, SOUP_STATUS_BAD_GATEWAY, "cancelled", 0);
@@ -247,9 +252,9 @@
   soup_server_message_unpause (r->message);
 }
 
-/* The headers of M that go on to a server, each line with CRLF. */
+/* The headers of M that are forwarded to a server, each line with CRLF. */
 static char *
-headers_of (SoupServerMessage *m)
+forwarded_headers (SoupServerMessage *m)
 {
   GString *s = g_string_new (NULL);
   SoupMessageHeadersIter i;
@@ -265,18 +270,19 @@
 }
 
 static void
-begin (CcCallers *c, SoupServerMessage *m, CcRoute *route, const char *pool,
-       CcCallerInfo *info)
+start_request (CcCallers *c, SoupServerMessage *m, CcRoute *route,
+               const char *pool, CcCallerInfo *info)
 {
-  const CcRoutePool *described = cc_routes_pool (c->routes, pool);
-  g_autofree char *headers = headers_of (m);
+  const CcRoutePool *pool_config = cc_routes_pool (c->routes, pool);
+  g_autofree char *headers = forwarded_headers (m);
   g_autofree char *path = cc_http_target (m);
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
   Request *r = g_new0 (Request, 1);
   CcExchangeRequest start = { .route = route,
                               .pool = pool,
-                              .keyed = described != NULL && described->keyed,
+                              .keyed =
+                                  pool_config != NULL && pool_config->keyed,
                               .caller = &r->caller,
                               .method = soup_server_message_get_method (m),
                               .path = path,
@@ -293,18 +299,18 @@
   c->pending++;
   g_signal_connect (m, "finished", G_CALLBACK (on_finished), r);
   soup_server_message_pause (m);
-  r->exchange = cc_exchange_begin (c->forwarder, &start, on_end, r);
+  r->exchange = cc_exchange_begin (c->forwarder, &start, on_result, r);
   if (r->exchange != NULL)
-    cc_hangup_watch (&r->hangup, soup_server_message_get_socket (m), on_gone,
-                     r);
+    cc_hangup_watch (&r->hangup, soup_server_message_get_socket (m),
+                     on_caller_gone, r);
 }
 
-/* An answer to a request that is sent to no pool. */
+/* An answer to a request that is refused without being sent to a pool. */
 typedef struct
 {
   guint status;
   const char *reason;
-  gint64 retry_after; /* us; 0: not to come back */
+  gint64 retry_after; /* us; 0: no Retry-After */
 } Refusal;
 
 static const Refusal no_configuration = { SOUP_STATUS_SERVICE_UNAVAILABLE,
@@ -318,7 +324,8 @@
 static const Refusal no_pool = { SOUP_STATUS_SERVICE_UNAVAILABLE, "no-pool",
                                  STARTING_RETRY };
 
-/* Answers M, a request of INFO on ROUTE (NULL: none), with WHY. */
+/* Refuses M with the answer WHY.  INFO is from its headers; ROUTE may be NULL.
+ */
 static void
 refuse (CcCallers *c, SoupServerMessage *m, const Refusal *why,
         const CcCallerInfo *info, const CcRoute *route)
@@ -336,7 +343,8 @@
   answer (c, m, why->status, why->reason, why->retry_after);
 }
 
-/* Bytes of M's headers as they came, but for spaces around the values. */
+/* The size of M's headers as received, without spaces around the values, bytes.
+ */
 static gsize
 headers_size (SoupServerMessage *m)
 {
@@ -351,21 +359,23 @@
   return size;
 }
 
-/* What the configuration, or the default before the first, allows. */
+/* The largest size of request headers: as configured, or the default while
+ * there is no configuration, bytes. */
 static gsize
 headers_max (const CcCallers *c)
 {
   return c->routes != NULL ? c->routes->limits.headers_max : CC_HEADERS_MAX;
 }
 
-/* Whether a request of INFO on ROUTE to POOL could still be at work when the
- * process ends.  Broken off then, nobody would know whether it ran; told now,
- * its caller is answered by another instance.
+/* Whether a request on ROUTE to POOL could still be running when the process
+ * exits.  Its outcome would be unknown then; refused now, it is served by
+ * another instance.
  *
- * While the balancer may still send callers here there is time for most. */
+ * As long as the load balancer may send new connections here, there is time
+ * for most requests. */
 static gboolean
-comes_too_late (const CcCallers *c, const CcRoute *route, const char *pool,
-                const CcCallerInfo *info)
+cannot_finish_in_time (const CcCallers *c, const CcRoute *route,
+                       const char *pool, const CcCallerInfo *info)
 {
   gint64 need = MIN (route->timeout,
                      cc_forwarder_longest_time (c->forwarder, pool, route));
@@ -375,9 +385,10 @@
   return c->stop_at != 0 && cc_clock_now () + need > c->stop_at;
 }
 
-/* Whether the process is so near its end that no request is taken.  What one
- * may take is known without the time for which it waits, so when only callers
- * with kept connections come, none is. */
+/* Whether a draining process refuses all requests.  It does once no new
+ * connections are expected: the estimate of a request's duration does not
+ * include its time in queues, so even a short one might not finish before the
+ * process exits. */
 gboolean
 cc_callers_rejects_all (const CcCallers *c)
 {
@@ -414,10 +425,10 @@
     refuse (c, m, &cancelled, &info, route);
   else if ((pool = cc_route_next_pool (route)) == NULL)
     refuse (c, m, &no_pool, &info, route);
-  else if (comes_too_late (c, route, pool, &info))
+  else if (cannot_finish_in_time (c, route, pool, &info))
     refuse (c, m, &stopping, &info, route);
   else
-    begin (c, m, route, pool, &info);
+    start_request (c, m, route, pool, &info);
   cc_caller_info_clear (&info);
 }
 
@@ -432,8 +443,8 @@
                  c->routes != NULL ? c->routes->limits.body_max : CC_BODY_MAX);
 }
 
-/* Listens at ADDRESS (IP:PORT).  FALSE with *MESSAGE, to be freed, if it
- * can't. */
+/* Listens at ADDRESS (IP:PORT).  On failure returns FALSE and sets *MESSAGE, to
+ * be freed by the caller. */
 gboolean
 cc_callers_listen (CcCallers *c, const char *address, char **message)
 {
@@ -443,7 +454,7 @@
   return cc_http_listen (c->server, address, message);
 }
 
-/* ROUTES, which is taken over, are in force from now on. */
+/* Applies the configuration ROUTES and takes ownership of it. */
 void
 cc_callers_configure (CcCallers *c, CcRoutes *routes)
 {
@@ -451,24 +462,24 @@
   c->routes = routes;
 }
 
-/* The routes in force, or NULL. */
+/* The current configuration, or NULL. */
 const CcRoutes *
 cc_callers_routes (const CcCallers *c)
 {
   return c->routes;
 }
 
-/* While AWAY, each answer ends its connection, so that callers whose balancer
- * knows better go elsewhere. */
+/* While CLOSING, each answer closes its connection, so that the load balancer
+ * can send the caller to another instance. */
 void
-cc_callers_set_closing (CcCallers *c, gboolean away)
+cc_callers_set_closing (CcCallers *c, gboolean closing)
 {
-  c->away = away;
+  c->closing = closing;
 }
 
-/* The process ends at STOP_AT, and the balancer sends no new callers from
- * QUIET_AT on, us of cc_clock_now.  From now on each answer ends its
- * connection, so that callers go elsewhere. */
+/* Starts to drain: from now on each answer closes its connection.  The load
+ * balancer sends no new connections from QUIET_AT on, and the process exits at
+ * STOP_AT; both are us of cc_clock_now. */
 void
 cc_callers_drain (CcCallers *c, gint64 quiet_at, gint64 stop_at)
 {
@@ -476,14 +487,14 @@
   c->stop_at = stop_at;
 }
 
-/* Closes the listening socket and what is idle. */
+/* Closes the listening socket and idle connections. */
 void
 cc_callers_close (CcCallers *c)
 {
   soup_server_disconnect (c->server);
 }
 
-/* Requests that were taken in and not answered. */
+/* The number of requests accepted and not answered. */
 guint
 cc_callers_pending (const CcCallers *c)
 {
--- a/callers.h
+++ b/callers.h
@@ -1,4 +1,4 @@
-/* The HTTP side that callers see. */
+/* The HTTP server for callers' requests. */
 #ifndef CC_CALLERS_H
 #define CC_CALLERS_H
 
@@ -10,7 +10,7 @@
 gboolean cc_callers_listen (CcCallers *c, const char *address, char **message);
 void cc_callers_configure (CcCallers *c, CcRoutes *routes);
 const CcRoutes *cc_callers_routes (const CcCallers *c);
-void cc_callers_set_closing (CcCallers *c, gboolean away);
+void cc_callers_set_closing (CcCallers *c, gboolean closing);
 void cc_callers_drain (CcCallers *c, gint64 quiet_at, gint64 stop_at);
 gboolean cc_callers_rejects_all (const CcCallers *c);
 void cc_callers_close (CcCallers *c);
--- a/test/test_callers.c
+++ b/test/test_callers.c
@@ -1,4 +1,5 @@
-/* What callers are told of requests that are sent to nobody. */
+/* Guards against a wrong reason in the answer to a request that is refused
+ * without being sent to an upstream. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -16,8 +17,8 @@
 {
   STATE_NEW,
   STATE_CONFIGURED,
-  STATE_DRAINING, /* callers may still come */
-  STATE_QUIET     /* only those that have a connection */
+  STATE_DRAINING, /* new connections may still come */
+  STATE_QUIET     /* only requests on existing connections */
 } State;
 
 typedef struct
@@ -31,7 +32,7 @@
   { STATE_NEW, 503, "no-configuration" },
   { STATE_CONFIGURED, 404, "no-route" },
   { STATE_DRAINING, 404, "no-route" },
-  /* Its configuration may be an old one by then. */
+  /* Its configuration may be outdated by then. */
   { STATE_QUIET, 503, "stopping" },
 };
 
@@ -58,7 +59,7 @@
 }
 
 static void
-bring_into (CcCallers *c, State state)
+enter_state (CcCallers *c, State state)
 {
   gint64 now = cc_clock_now ();
 
@@ -71,7 +72,7 @@
 }
 
 static void
-what_has_no_route_is_told_why (void **state)
+refused_requests_get_the_reason (void **state)
 {
   (void) state;
   loop = g_main_loop_new (NULL, FALSE);
@@ -89,7 +90,7 @@
       char *message = NULL;
 
       assert_true (cc_callers_listen (c, at, &message));
-      bring_into (c, cases[i].state);
+      enter_state (c, cases[i].state);
       assert_non_null (cc_http_send (http, &o, on_answer, &a));
       g_main_loop_run (loop);
       assert_int_equal (a.status, cases[i].status);
@@ -105,7 +106,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (what_has_no_route_is_told_why),
+    cmocka_unit_test (refused_requests_get_the_reason),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_listen.c
+++ b/test/test_listen.c
@@ -1,9 +1,6 @@
-/* Callers who connect together, as at the opening of a gate.
- *
- * What the caller sees without it: most wait a whole second, then succeed.
- * The kernel keeps connections that are not accepted yet, GLib asks for ten;
- * past that it drops the first packet, and the caller's kernel sends the next
- * one after a second. */
+/* Guards against callers that wait a second to connect when many connect at
+ * once.  GLib sets a listen backlog of ten; beyond it the kernel drops the SYN,
+ * which the caller's kernel retransmits after a second. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
--- a/test/test_target.c
+++ b/test/test_target.c
@@ -1,6 +1,6 @@
-/* What callers wrote as the target of a request goes on to servers byte by
- * byte.  A decoded path is another one, and line ends in it would end the
- * request's head. */
+/* Guards against a request target that is changed on the way to a server.  A
+ * decoded path is a different one, and decoded line ends would split the
+ * request's headers. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -39,8 +39,8 @@
   { "http://other.example:80/a%2Fb?q", "/a%2Fb?q" },
 };
 
-/* Forms that mean the same as others (RFC 3986, 6.2.2). */
-static const Case forms[] = {
+/* Targets that are not in normal form (RFC 3986, 6.2.2). */
+static const Case unnormalized[] = {
   { "/%7Ea/%61", NULL }, { "/%c3%a9", NULL },    { "/a/../b", NULL },
   { "/a/./b/..", NULL }, { "/a%2Fb?%41", NULL },
 };
@@ -68,7 +68,7 @@
   g_main_loop_quit (loop);
 }
 
-/* What a server sees of TARGET, which goes to it at AT by HTTP. */
+/* The target that the server at AT sees if TARGET is sent. */
 static char *
 send_target (CcHttp *http, const char *at, const char *target)
 {
@@ -125,11 +125,11 @@
 a_target_is_not_normalized (void **state)
 {
   (void) state;
-  send_all (forms, G_N_ELEMENTS (forms), 1);
+  send_all (unnormalized, G_N_ELEMENTS (unnormalized), 1);
 }
 
-/* Requests of one connection, sent at once: bodies that look like requests, a
- * target that the server refuses, equal targets in two forms. */
+/* Requests sent at once on one connection: bodies that look like requests, a
+ * target that the server refuses, equivalent targets in two forms. */
 static const char stream[] =
     "POST /%7Ea HTTP/1.1\r\nHost: a\r\nContent-Length: 21\r\n\r\n"
     "GET /%62 HTTP/1.1\r\n\r\n"
@@ -164,7 +164,7 @@
   return got;
 }
 
-/* Guards against a target that is taken for another message's. */
+/* Guards against a target that is assigned to another message. */
 static void
 a_target_stays_with_its_message (void **state)
 {
