--- a/test/test_causes.c
+++ b/test/test_causes.c
@@ -1,10 +1,6 @@
-/* From the id of a request that failed to its cause, by the real program's log.
- *
- * What an engineer would see if it failed: a complaint with an id, and no line
- * or one that does not say why.  Each case provokes one cause: upstreams that
- * are missing, refuse, close, stay silent, answer for another or are full, keys
- * without an owner or on their way, a caller that leaves, a process that ends.
- * The line is looked for by the id alone. */
+/* Guards against a failed request whose id leads to no log line, or to one
+ * without the cause.  Each case provokes one cause against the real program and
+ * searches its log by the request's id alone. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -26,9 +22,9 @@
 #define STOP_GRACE_MS 1500
 #define LONG_GRACE_MS 6000
 #define LOG "causes.log"
-#define TURN_MS 20
+#define POLL_MS 20
 
-/* What an upstream does with a request for work. */
+/* How an upstream reacts to a request for work. */
 typedef enum
 {
   CLOSES,
@@ -36,16 +32,16 @@
   ANSWERS_UNSIGNED,
   SHEDS,
   SENDS_NOISE,
-  HOLDS_NO_KEY,
-  IS_AWAY /* nothing listens at its address */
-} Manner;
+  OWNS_NO_KEY,
+  IS_DOWN /* nothing listens at its address */
+} Behaviour;
 
 typedef struct
 {
   const char *pool;
   const char *id;
   guint host; /* in its address */
-  Manner manner;
+  Behaviour behaviour;
   gboolean keyed;
 } Upstream;
 
@@ -55,8 +51,8 @@
   { "unsigned", "u3", 3, ANSWERS_UNSIGNED, FALSE },
   { "shedding", "u4", 4, SHEDS, FALSE },
   { "noisy", "u5", 5, SENDS_NOISE, FALSE },
-  { "away", "u6", 6, IS_AWAY, FALSE },
-  { "keyless", "u7", 7, HOLDS_NO_KEY, TRUE },
+  { "away", "u6", 6, IS_DOWN, FALSE },
+  { "keyless", "u7", 7, OWNS_NO_KEY, TRUE },
   { "busy", "u8", 8, IS_SILENT, TRUE },
   { "leaving", "u9", 9, IS_SILENT, TRUE },
   { "crowded", "u10", 10, IS_SILENT, FALSE },
@@ -69,9 +65,9 @@
   const char *path;   /* begins with the name of a pool */
   int key;            /* -1: none */
   guint deadline;     /* ms */
-  guint count;        /* requests at once; the last is looked for */
-  const char *event;  /* that bears the id */
-  const char *reason; /* NULL: the event says enough */
+  guint count;        /* requests at once; the last one is checked */
+  const char *event;  /* logged with the id */
+  const char *reason; /* expected with it; NULL: any */
 } Case;
 
 static const Case cases[] = {
@@ -102,13 +98,13 @@
 /* ---- upstreams ---- */
 
 static void
-say (GSocketConnection *c, const char *text)
+send_text (GSocketConnection *c, const char *text)
 {
   g_output_stream_write_all (g_io_stream_get_output_stream (G_IO_STREAM (c)),
                              text, strlen (text), NULL, NULL, NULL);
 }
 
-/* The header by which the answer to REQUEST names it. */
+/* The header line by which the answer identifies REQUEST. */
 static char *
 echo_of (const char *request)
 {
@@ -123,25 +119,25 @@
   g_autofree char *echo = echo_of (request);
   g_autofree char *refusal = g_strdup_printf (
       "HTTP/1.1 %s\r\nX-Not-Executed: 1\r\n%sContent-Length: 0\r\n\r\n",
-      u->manner == SHEDS ? "503 Full" : "421 Other", echo);
+      u->behaviour == SHEDS ? "503 Full" : "421 Other", echo);
 
-  switch (u->manner)
+  switch (u->behaviour)
     {
     case CLOSES:
       g_io_stream_close (G_IO_STREAM (c), NULL, NULL);
       break;
     case ANSWERS_UNSIGNED:
-      say (c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+      send_text (c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
       break;
     case SHEDS:
-    case HOLDS_NO_KEY:
-      say (c, refusal);
+    case OWNS_NO_KEY:
+      send_text (c, refusal);
       break;
     case SENDS_NOISE:
-      say (c, "noise without an end\r\n\r\n");
+      send_text (c, "noise without an end\r\n\r\n");
       break;
     case IS_SILENT:
-    case IS_AWAY:
+    case IS_DOWN:
       break;
     }
 }
@@ -166,9 +162,9 @@
       return;
     }
   p->bytes[n] = '\0';
-  /* Grants are taken by all; a release is answered by nobody here. */
+  /* All upstreams accept grants, and none answers a release. */
   if (strstr (p->bytes, "/v1/grant") != NULL)
-    say (p->connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
+    send_text (p->connection, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
   else if (strstr (p->bytes, "/v1/release") == NULL &&
            strstr (p->bytes, "HTTP/1.1") != NULL)
     answer_work (p->upstream, p->connection, p->bytes);
@@ -217,7 +213,7 @@
   GSocketService *service;
 
   list_upstream (u, "ready");
-  if (u->manner == IS_AWAY)
+  if (u->behaviour == IS_DOWN)
     return;
   *strchr (text, ':') = '\0';
   at = g_inet_socket_address_new_from_string (text, 7200);
@@ -269,7 +265,7 @@
 }
 
 static void
-turn (guint ms)
+run_loop (guint ms)
 {
   g_timeout_add (ms, on_quit, w.loop);
   g_main_loop_run (w.loop);
@@ -304,7 +300,7 @@
 }
 
 static CcHttpCall *
-ask (const char *path, const char *id, int key, guint deadline)
+send_request (const char *path, const char *id, int key, guint deadline)
 {
   g_autofree char *address = address_of (1, 1, GATEWAY_LISTEN);
   g_autoptr (GBytes) body = g_bytes_new_static ("x", 1);
@@ -329,7 +325,7 @@
 wait_for_answers (void)
 {
   for (guint i = 0; i < 300 && w.open > 0; i++)
-    turn (TURN_MS);
+    run_loop (POLL_MS);
   assert_int_equal (w.open, 0);
 }
 
@@ -375,13 +371,13 @@
 
       if (line != NULL)
         return;
-      turn (TURN_MS);
+      run_loop (POLL_MS);
     }
   fail_msg ("%s: no line %s with %s", id, event,
             reason != NULL ? reason : "any reason");
 }
 
-/* When the gateway noted EVENT, after SINCE; wall clock, us. */
+/* When the gateway first logged EVENT after SINCE; wall clock, us. */
 static gint64
 time_of (const char *event, gint64 since)
 {
@@ -410,19 +406,19 @@
           if (at > since)
             return at;
         }
-      turn (TURN_MS);
+      run_loop (POLL_MS);
     }
   fail_msg ("no line %s", event);
   return 0;
 }
 
 static void
-turn_until (gint64 wall)
+run_loop_until (gint64 wall)
 {
   gint64 now = cc_clock_wall ();
 
   if (wall > now)
-    turn ((guint) ((wall - now) / CC_MS) + 1);
+    run_loop ((guint) ((wall - now) / CC_MS) + 1);
 }
 
 /* ---- tests ---- */
@@ -446,7 +442,7 @@
     {
       g_autofree char *text = NULL;
 
-      turn (TURN_MS);
+      run_loop (POLL_MS);
       if (g_file_get_contents (w.log, &text, NULL, NULL) &&
           strstr (text, "\"registered\"") != NULL)
         break;
@@ -470,13 +466,13 @@
 without_a_configuration (void **state)
 {
   (void) state;
-  ask ("/empty/", "c0", -1, 500);
+  send_request ("/empty/", "c0", -1, 500);
   wait_for_answers ();
   expect_line ("c0", "request-refused", "no-configuration");
   configure ();
   for (guint i = 0; i < G_N_ELEMENTS (upstreams); i++)
     start_upstream (&upstreams[i]);
-  turn (5000); /* the keys are granted */
+  run_loop (5000); /* the keys are granted */
 }
 
 static void
@@ -492,17 +488,17 @@
         {
           g_free (id);
           id = g_strdup_printf ("c%u-%u", i + 1, k);
-          ask (c->path, id, c->key, c->deadline);
+          send_request (c->path, id, c->key, c->deadline);
         }
       wait_for_answers ();
       expect_line (id, c->event, c->reason);
     }
 }
 
-/* The owner says that it leaves and does not answer the release, so nobody may
- * serve its keys for as long as its last grant lasts. */
+/* The owner is leaving and does not answer the release, so no other may serve
+ * its keys until its last grant expires. */
 static void
-keys_on_their_way (void **state)
+keys_that_are_moving (void **state)
 {
   Upstream heir = { "leaving", "u19", 19, IS_SILENT, TRUE };
 
@@ -511,8 +507,8 @@
   for (guint i = 0; i < G_N_ELEMENTS (upstreams); i++)
     if (g_str_equal (upstreams[i].id, "u9"))
       list_upstream (&upstreams[i], "draining");
-  turn (800);
-  ask ("/leaving/", "moving", 65000, 1000);
+  run_loop (800);
+  send_request ("/leaving/", "moving", 65000, 1000);
   wait_for_answers ();
   expect_line ("moving", "request-ended", "keys-moving");
 }
@@ -523,8 +519,8 @@
   CcHttpCall *call;
 
   (void) state;
-  call = ask ("/silent/", "gone", -1, 1000);
-  turn (100);
+  call = send_request ("/silent/", "gone", -1, 1000);
+  run_loop (100);
   cc_http_cancel (call);
   w.open--;
   expect_line ("gone", "caller-gone", NULL);
@@ -535,18 +531,17 @@
 {
   (void) state;
   g_subprocess_send_signal (w.gateway, SIGTERM);
-  turn (50);
-  ask ("/silent/", "late", -1, 3000);
+  run_loop (50);
+  send_request ("/silent/", "late", -1, 3000);
   wait_for_answers ();
   expect_line ("late", "request-refused", "stopping");
   g_subprocess_wait (w.gateway, NULL, NULL);
   g_clear_object (&w.gateway);
 }
 
-/* The caller sees its connection closed without an answer: it kept one to a
- * process that stops, sent a request of a kind that takes a moment when the
- * balancer had long left, and that waited in a queue until the process ended.
- * No request is taken then, however short; its caller is answered elsewhere. */
+/* Guards against a connection that is closed without an answer: a caller sends
+ * a request on an existing connection to a stopping process, and it waits in a
+ * queue until the process exits.  So near the exit every request is refused. */
 static void
 a_process_that_nobody_is_sent_to (void **state)
 {
@@ -554,14 +549,14 @@
 
   (void) state;
   start_gateway (LONG_GRACE_MS);
-  turn (3000);
+  run_loop (3000);
   sent = cc_clock_wall ();
   g_subprocess_send_signal (w.gateway, SIGTERM);
   stopping = time_of ("stopping", sent);
-  turn_until (stopping + 1600 * CC_MS);
-  ask ("/silent/", "taken", -1, 1500);
-  turn_until (stopping + 2650 * CC_MS);
-  ask ("/silent/", "untaken", -1, 100);
+  run_loop_until (stopping + 1600 * CC_MS);
+  send_request ("/silent/", "taken", -1, 1500);
+  run_loop_until (stopping + 2650 * CC_MS);
+  send_request ("/silent/", "untaken", -1, 100);
   wait_for_answers ();
   expect_line ("taken", "request-ended", "deadline");
   expect_line ("untaken", "request-refused", "stopping");
@@ -575,7 +570,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (without_a_configuration),
     cmocka_unit_test (each_cause_has_a_line),
-    cmocka_unit_test (keys_on_their_way),
+    cmocka_unit_test (keys_that_are_moving),
     cmocka_unit_test (a_caller_that_leaves),
     cmocka_unit_test (a_process_that_ends),
     cmocka_unit_test (a_process_that_nobody_is_sent_to),
