--- a/headers.c
+++ b/headers.c
@@ -1,11 +1,11 @@
-/* Headers travel as one string of bytes, "name\0value\0name\0value\0" (type
- * ay). An array of pairs costs about six allocations for each header on either
- * side of each hop; this costs one for all of them. */
+/* Headers are packed as "name\0value\0name\0value\0" into a GVariant of type
+ * ay.  An array of pairs costs about six allocations per header on both sides
+ * of each hop; this costs one for all headers. */
 #include "headers.h"
 
 #include <string.h>
 
-/* Adds NAME and VALUE to PACKED. */
+/* Appends NAME and VALUE to PACKED. */
 void
 cc_headers_add (GString *packed, const char *name, const char *value)
 {
@@ -13,7 +13,8 @@
   g_string_append_len (packed, value, (gssize) strlen (value) + 1);
 }
 
-/* What was added, with a reference for the caller; frees PACKED. */
+/* Returns PACKED as a GVariant, to be unreferenced by the caller, and frees
+ * PACKED. */
 GVariant *
 cc_headers_take (GString *packed)
 {
@@ -23,7 +24,8 @@
       g_variant_new_from_bytes (G_VARIANT_TYPE_BYTESTRING, bytes, TRUE));
 }
 
-/* Starts at the first of PACKED, which must outlive I; NULL has none. */
+/* Starts an iteration over PACKED, which must outlive I; NULL is an empty list.
+ */
 void
 cc_headers_iter (CcHeadersIter *i, GVariant *packed)
 {
@@ -34,8 +36,8 @@
   i->end = i->at + g_variant_get_size (packed);
 }
 
-/* Takes one string that ends before the end of all; a damaged message may lack
- * its last zero byte. */
+/* Returns the next string, or NULL if there is none.  A damaged message may
+ * lack the last zero byte. */
 static const char *
 next_string (CcHeadersIter *i)
 {
@@ -49,7 +51,8 @@
   return start;
 }
 
-/* The next pair, valid as long as the packed headers.  FALSE at the end. */
+/* Gets the next pair, valid as long as the packed headers.  Returns FALSE at
+ * the end. */
 gboolean
 cc_headers_next (CcHeadersIter *i, const char **name, const char **value)
 {
--- a/headers.h
+++ b/headers.h
@@ -1,10 +1,10 @@
-/* HTTP headers on their way between our processes. */
+/* HTTP headers packed into one byte string. */
 #ifndef CC_HEADERS_H
 #define CC_HEADERS_H
 
 #include <glib.h>
 
-/* Walks over packed headers. */
+/* Iterates over packed headers. */
 typedef struct
 {
   const char *at;  /* the next name */
--- a/http_link.c
+++ b/http_link.c
@@ -1,11 +1,11 @@
-/* One request at a time on a connection; the parser is http_parser's.
+/* One request at a time per connection, without pipelining; answers are parsed
+ * by http_parser.
  *
- * Bytes that no request asked for belong to nobody.  A server's second answer
- * may come late, where the next one is due, and be taken for it; so an answer
- * that bears another request's echo is passed over, and a connection that ever
- * showed surplus bytes, or an answer before its request was written, is closed
- * after the call.  An idle connection that becomes readable is closed at once.
- */
+ * A server may send a second answer to a request, which must not be taken for
+ * the answer to the next one on the connection.  So an answer that echoes
+ * another request's id is skipped.  A connection on which surplus bytes came,
+ * or an answer before its request was written, is closed after the call.  An
+ * idle connection that becomes readable is closed at once. */
 #include "http_state.h"
 
 #include <string.h>
@@ -15,24 +15,25 @@
 #include "timers.h"
 
 #define READ_SIZE 16384 /* bytes */
-/* Bound on one answer, so that a broken server can't fill the memory. */
+/* Largest body of an answer, bytes, so that a faulty server can't exhaust the
+ * memory. */
 #define ANSWER_MAX (16 * 1024 * 1024)
 
 struct CcHttpCall
 {
   CcHttpConnection *connection;
   GByteArray *out;      /* the request */
-  gsize written;        /* bytes of it */
+  gsize written;        /* bytes of OUT that were sent */
   gsize received;       /* bytes of the answer */
-  CcTimer timer;        /* connecting, then the whole answer */
+  CcTimer timer;        /* for connecting, then for the complete answer */
   gint64 answer_by;     /* us of cc_clock_now */
   gint64 stall_timeout; /* see CcHttpRequest */
-  gint64 end_by;        /* however the answer goes on, us of cc_clock_now */
+  gint64 latest; /* limit of extensions of ANSWER_BY, us of cc_clock_now */
   gboolean bodiless;
-  gboolean lasting; /* it asked for an old connection */
+  gboolean needs_existing; /* it required an existing connection */
   char *echo;
   char *echo_value;
-  GString *name; /* of the header being read */
+  GString *name; /* of the header being parsed */
   GString *value;
   gboolean in_value;
   GString *headers; /* packed */
@@ -55,12 +56,12 @@
   g_free (c);
 }
 
-/* Gives the connection of a finished call back, or closes it. */
+/* Returns the connection of a finished call to the pool, or closes it. */
 static void
-retire (CcHttpConnection *c)
+release_connection (CcHttpConnection *c)
 {
   c->call = NULL;
-  if (c->tainted)
+  if (c->close_after_call)
     {
       cc_http_connection_close (c);
       return;
@@ -92,13 +93,13 @@
     }
   else
     {
-      c->tainted = TRUE;
+      c->close_after_call = TRUE;
       cc_http_connection_reset_on_close (c);
-      if (c->used && !call->lasting)
+      if (c->used && !call->needs_existing)
         cc_http_peer_close_idle (c->peer);
     }
   cc_timer_stop (&call->timer);
-  retire (c);
+  release_connection (c);
   call->done (&r, call->data);
   call_free (call);
 }
@@ -109,34 +110,35 @@
   finish (call, call->written > 0 ? CC_HTTP_LOST : CC_HTTP_UNSENT, why);
 }
 
-static void on_time (gpointer data);
+static void on_timeout (gpointer data);
 
-/* More of the answer has come, or is there to be read.
+/* Extends the timeout of CALL, of whose answer more was received or is
+ * readable.
  *
- * Failure: a large answer is given up while it arrives over a slow link, and
- * asked for again from its beginning, without end. */
+ * Failure: a large answer times out while it arrives over a slow link, and is
+ * requested again from its beginning, endlessly. */
 static void
-extend_time (CcHttpCall *call)
+extend_timeout (CcHttpCall *call)
 {
   gint64 now = cc_clock_now ();
   gint64 by =
-      MAX (call->answer_by, MIN (now + call->stall_timeout, call->end_by));
+      MAX (call->answer_by, MIN (now + call->stall_timeout, call->latest));
 
-  cc_timer_start (&call->timer, by - now, on_time, call);
+  cc_timer_start (&call->timer, by - now, on_timeout, call);
 }
 
-/* Whether a timer that is due tells of this process, which did not run, and not
- * of the peer. */
+/* Whether the answer can be read although its timer has expired: then this
+ * process was stalled, and not the peer. */
 static gboolean
 has_unread_answer (const CcHttpCall *call)
 {
   return call->written > 0 && call->stall_timeout > 0 &&
-         cc_clock_now () < call->end_by &&
+         cc_clock_now () < call->latest &&
          g_socket_condition_check (call->connection->socket, G_IO_IN) != 0;
 }
 
 static void
-give_up (CcHttpCall *call)
+end_timed_out (CcHttpCall *call)
 {
   if (call->written > 0)
     finish (call, CC_HTTP_TIMED_OUT, "late");
@@ -145,30 +147,31 @@
 }
 
 static void
-on_time (gpointer data)
+on_timeout (gpointer data)
 {
   CcHttpCall *call = data;
 
   if (has_unread_answer (call))
-    extend_time (call);
+    extend_timeout (call);
   else
-    give_up (call);
+    end_timed_out (call);
 }
 
-/* Whether nothing of CALL may leave any more.
+/* Whether CALL has timed out, so that no more of it may be sent.
  *
- * Failure: this process is slow, and handles a connection before the timer that
- * is due.  Symptom: a request leaves after its time, and takes effect when
- * others count on its end: keys are granted that another holds by then. */
+ * Failure: this process is slow and handles a connection before an expired
+ * timer.  Symptom: a request is sent after its timeout and takes effect when
+ * others rely on its end: keys are granted that another server holds by then.
+ */
 static gboolean
-is_over (const CcHttpCall *call)
+must_not_send (const CcHttpCall *call)
 {
   return call->received == 0 && cc_clock_now () >= call->answer_by &&
          !has_unread_answer (call);
 }
 
 static gint64
-keep_alive_of (const char *value)
+parse_keep_alive (const char *value)
 {
   const char *at = strstr (value, "timeout=");
 
@@ -183,7 +186,7 @@
   if (call->name->len == 0)
     return;
   if (g_ascii_strcasecmp (call->name->str, "Keep-Alive") == 0)
-    call->connection->idle_limit = keep_alive_of (call->value->str);
+    call->connection->idle_limit = parse_keep_alive (call->value->str);
   if (call->echo != NULL &&
       g_ascii_strcasecmp (call->name->str, call->echo) == 0 &&
       strcmp (call->value->str, call->echo_value) != 0)
@@ -200,7 +203,7 @@
 
   if (c->finished)
     {
-      c->tainted = TRUE;
+      c->close_after_call = TRUE;
       http_parser_pause (p, 1);
       return 0;
     }
@@ -262,12 +265,12 @@
     return 0;
   if (c->skipping)
     {
-      c->tainted = TRUE;
+      c->close_after_call = TRUE;
       return 0;
     }
   c->finished = TRUE;
   if (!http_should_keep_alive (p))
-    c->tainted = TRUE;
+    c->close_after_call = TRUE;
   http_parser_pause (p, 1);
   return 0;
 }
@@ -281,9 +284,10 @@
   .on_message_complete = on_complete,
 };
 
-/* Returns FALSE if C and its call are gone. */
+/* Parses COUNT bytes received on C.  Returns FALSE if its call has ended and C
+ * may be freed. */
 static gboolean
-take_bytes (CcHttpConnection *c, const char *bytes, gsize count)
+parse_bytes (CcHttpConnection *c, const char *bytes, gsize count)
 {
   CcHttpCall *call = c->call;
   gsize parsed = http_parser_execute (&c->parser, &callbacks, bytes, count);
@@ -292,7 +296,7 @@
   if (c->finished)
     {
       if (parsed < count || call->written < call->out->len)
-        c->tainted = TRUE;
+        c->close_after_call = TRUE;
       finish (call, CC_HTTP_ANSWERED, "");
       return FALSE;
     }
@@ -302,20 +306,21 @@
       return FALSE;
     }
   if (call->stall_timeout > 0)
-    extend_time (call);
+    extend_timeout (call);
   return TRUE;
 }
 
-/* The peer closed.  That completes an answer without a length. */
+/* The peer closed the connection, which completes an answer without a length.
+ */
 static void
-take_end (CcHttpConnection *c)
+handle_close (CcHttpConnection *c)
 {
   CcHttpCall *call = c->call;
 
   http_parser_execute (&c->parser, &callbacks, NULL, 0);
   if (c->finished)
     {
-      c->tainted = TRUE;
+      c->close_after_call = TRUE;
       finish (call, CC_HTTP_ANSWERED, "");
       return;
     }
@@ -323,7 +328,7 @@
 }
 
 static void
-read_some (CcHttpConnection *c)
+read_available (CcHttpConnection *c)
 {
   char buffer[READ_SIZE];
 
@@ -340,7 +345,7 @@
         }
       if (got > 0)
         {
-          if (!take_bytes (c, buffer, (gsize) got))
+          if (!parse_bytes (c, buffer, (gsize) got))
             return;
           if (got < READ_SIZE)
             return;
@@ -352,22 +357,23 @@
       if (c->call == NULL)
         cc_http_connection_close (c);
       else if (got == 0)
-        take_end (c);
+        handle_close (c);
       else
         fail (c->call, "reset");
       return;
     }
 }
 
-/* Returns FALSE if C and its call are gone. */
+/* Writes as much of the request as the socket accepts.  Returns FALSE if the
+ * call has ended and C may be freed. */
 static gboolean
-write_some (CcHttpConnection *c)
+write_pending (CcHttpConnection *c)
 {
   CcHttpCall *call = c->call;
 
-  if (call->written < call->out->len && is_over (call))
+  if (call->written < call->out->len && must_not_send (call))
     {
-      give_up (call);
+      end_timed_out (call);
       return FALSE;
     }
   while (call->written < call->out->len)
@@ -387,7 +393,8 @@
           cc_fd_watch_want (&c->watch, G_IO_IN | G_IO_OUT);
           return TRUE;
         }
-      /* A write that the kernel refused may follow bytes of an earlier one. */
+      /* Earlier writes of this request may have succeeded, which fail() takes
+       * into account. */
       fail (call, "write-failed");
       return FALSE;
     }
@@ -402,9 +409,9 @@
 
   c->connected = TRUE;
   c->opened_at = cc_clock_now ();
-  cc_timer_start (&call->timer, call->answer_by - cc_clock_now (), on_time,
+  cc_timer_start (&call->timer, call->answer_by - cc_clock_now (), on_timeout,
                   call);
-  return write_some (c);
+  return write_pending (c);
 }
 
 static void
@@ -432,27 +439,28 @@
     }
   if (seen & G_IO_OUT)
     {
-      if (c->call != NULL && !write_some (c))
+      if (c->call != NULL && !write_pending (c))
         return;
       if (!(seen & (G_IO_IN | G_IO_HUP | G_IO_ERR)))
         return;
     }
-  read_some (c);
+  read_available (c);
 }
 
 static CcHttpCall *
-call_new (const CcHttpRequest *o, CcHttpDone done, gpointer data)
+call_new (const CcHttpRequest *request, CcHttpDone done, gpointer data)
 {
   CcHttpCall *call = g_new0 (CcHttpCall, 1);
   gsize size = 0;
   gconstpointer body =
-      o->body != NULL ? g_bytes_get_data (o->body, &size) : NULL;
-  const char *head_end = o->closes ? "Connection: close\r\n\r\n" : "\r\n";
-
-  call->out = g_byte_array_sized_new ((guint) (strlen (o->head) + size + 64));
-  g_byte_array_append (call->out, (const guint8 *) o->head,
-                       (guint) strlen (o->head));
-  if (size > 0 || !g_str_has_prefix (o->head, "GET "))
+      request->body != NULL ? g_bytes_get_data (request->body, &size) : NULL;
+  const char *head_end = request->closes ? "Connection: close\r\n\r\n" : "\r\n";
+
+  call->out =
+      g_byte_array_sized_new ((guint) (strlen (request->head) + size + 64));
+  g_byte_array_append (call->out, (const guint8 *) request->head,
+                       (guint) strlen (request->head));
+  if (size > 0 || !g_str_has_prefix (request->head, "GET "))
     {
       g_autofree char *length =
           g_strdup_printf ("Content-Length: %" G_GSIZE_FORMAT "\r\n", size);
@@ -463,13 +471,13 @@
   g_byte_array_append (call->out, (const guint8 *) head_end, strlen (head_end));
   if (size > 0)
     g_byte_array_append (call->out, body, (guint) size);
-  call->bodiless = o->bodiless;
-  call->lasting = o->connected_by > 0;
-  call->echo = g_strdup (o->echo);
-  call->echo_value = g_strdup (o->echo_value);
-  call->answer_by = cc_clock_now () + o->answer_timeout;
-  call->stall_timeout = o->stall_timeout;
-  call->end_by = call->answer_by + o->extend_max;
+  call->bodiless = request->bodiless;
+  call->needs_existing = request->connected_by > 0;
+  call->echo = g_strdup (request->echo);
+  call->echo_value = g_strdup (request->echo_value);
+  call->answer_by = cc_clock_now () + request->answer_timeout;
+  call->stall_timeout = request->stall_timeout;
+  call->latest = call->answer_by + request->extend_max;
   call->name = g_string_new (NULL);
   call->value = g_string_new (NULL);
   call->headers = g_string_new (NULL);
@@ -479,75 +487,81 @@
   return call;
 }
 
-/* The connection to P for O, or NULL. */
+/* Returns an idle connection to P that REQUEST may use, or a new one; NULL if
+ * none is available. */
 static CcHttpConnection *
-take_connection (CcHttp *h, CcHttpPeer *p, const CcHttpRequest *o)
+find_connection (CcHttp *h, CcHttpPeer *p, const CcHttpRequest *request)
 {
   CcHttpConnection *c;
 
-  if (o->connected_by > 0)
-    return cc_http_connection_take_older (p, o->idle_max, o->connected_by);
-  c = cc_http_connection_take_idle (p, o->idle_max);
+  if (request->connected_by > 0)
+    return cc_http_connection_take_older (p, request->idle_max,
+                                          request->connected_by);
+  c = cc_http_connection_take_idle (p, request->idle_max);
   if (c != NULL)
     return c;
-  if (o->connections_max > 0 && p->open >= o->connections_max &&
+  if (request->connections_max > 0 && p->open >= request->connections_max &&
       p->idle->len == 0)
     return NULL;
   return cc_http_connection_open (h, p, on_socket);
 }
 
-/* Sends O.  DONE is called once, from the main loop, unless the call is
- * cancelled before.  Returns NULL, and DONE is not called, if there is no such
- * connection as O asks for: nothing was sent then. */
+/* Sends REQUEST.  DONE is called once, from the main loop, unless the call is
+ * cancelled before.  Returns NULL, without calling DONE, if the address is
+ * invalid or no connection that REQUEST may use is available; nothing was sent
+ * then. */
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *request, CcHttpDone done,
+              gpointer data)
 {
-  CcHttpPeer *p = cc_http_find_peer (h, o->address);
+  CcHttpPeer *p = cc_http_find_peer (h, request->address);
   CcHttpConnection *c;
   CcHttpCall *call;
 
   if (p == NULL)
     return NULL;
-  c = take_connection (h, p, o);
+  c = find_connection (h, p, request);
   if (c == NULL)
     return NULL;
-  call = call_new (o, done, data);
+  call = call_new (request, done, data);
   call->connection = c;
   c->call = call;
   c->finished = FALSE;
   c->skipping = FALSE;
-  /* Failure: the peer closes it as it was told, without saying so in its
-   * answer.  Symptom: the next request is lost in that close. */
-  c->tainted = o->closes;
+  /* Failure: the peer closes the connection as requested, without a Connection
+   * header in its answer.  Symptom: the next request is lost in that close. */
+  c->close_after_call = request->closes;
   http_parser_init (&c->parser, HTTP_RESPONSE);
   c->parser.data = c;
   if (c->connected)
     {
-      /* The first write is left to the main loop, so that DONE is never called
-       * before this returns. */
-      cc_timer_start (&call->timer, o->answer_timeout, on_time, call);
+      /* The main loop does the first write, so that DONE is never called before
+       * this function returns. */
+      cc_timer_start (&call->timer, request->answer_timeout, on_timeout, call);
       cc_fd_watch_want (&c->watch, G_IO_IN | G_IO_OUT);
     }
   else
     {
-      cc_timer_start (&call->timer, MIN (o->connect_timeout, o->answer_timeout),
-                      on_time, call);
+      cc_timer_start (&call->timer,
+                      MIN (request->connect_timeout, request->answer_timeout),
+                      on_timeout, call);
     }
   return call;
 }
 
-/* Ends C without a call to its DONE.  Its connection is closed, by which most
- * servers stop the work. */
+/* Cancels C without calling its DONE.  The connection is closed, on which most
+ * servers abort the work. */
 void
 cc_http_cancel (CcHttpCall *c)
 {
-  c->connection->tainted = TRUE;
+  c->connection->close_after_call = TRUE;
   cc_http_connection_reset_on_close (c->connection);
-  retire (c->connection);
+  release_connection (c->connection);
   call_free (c);
 }
 
-/* The first header NAME of an answer, or NULL.  Valid as long as R. */
+/* The value of the first header NAME of the answer R, or NULL.  Valid as long
+ * as R. */
 const char *
 cc_http_header (const CcHttpResult *r, const char *name)
 {
--- a/http_link.h
+++ b/http_link.h
@@ -1,9 +1,9 @@
-/* Calls over HTTP/1.1 on connections whose bytes are seen one by one.
+/* An HTTP/1.1 client that reports how far each request got.
  *
- * A session that hides its connections can't say whether a request has left
- * the process, nor whether an answer came where none was due.  Both decide
- * whether work may be sent again, so calls to servers and to the table service
- * go through this client. */
+ * Whether a request may be sent again depends on whether any of its bytes left
+ * the process, and on whether an answer belongs to it.  Client libraries that
+ * hide their connections report neither, so calls to servers and to the table
+ * service go through this client. */
 #ifndef CC_HTTP_LINK_H
 #define CC_HTTP_LINK_H
 
@@ -14,54 +14,56 @@
 
 typedef enum
 {
-  CC_HTTP_ANSWERED, /* a whole answer came */
-  CC_HTTP_UNSENT,   /* no byte of the request left: it has not run */
-  CC_HTTP_LOST,     /* sent, then the connection failed or sent nonsense */
-  CC_HTTP_TIMED_OUT /* sent, no whole answer within the time allowed */
+  CC_HTTP_ANSWERED, /* a complete answer was received */
+  CC_HTTP_UNSENT,   /* no byte of the request was sent: it has not run */
+  CC_HTTP_LOST, /* sent, then the connection failed or the answer was invalid */
+  CC_HTTP_TIMED_OUT /* sent, no complete answer within the timeout */
 } CcHttpOutcome;
 
-/* What is to be sent; everything is copied. */
+/* A request; cc_http_send copies all of it. */
 typedef struct
 {
   const char *address; /* IP:PORT of the peer */
-  const char *head;    /* request line and headers, each line with CRLF, but
-                          the length of the body and the empty line */
+  const char *head;    /* request line and headers, each line with CRLF, without
+                          Content-Length and the final empty line */
   GBytes *body;        /* NULL: none */
   gboolean bodiless;   /* the answer to this method has no body (HEAD) */
-  const char *echo;    /* header that bears ECHO_VALUE in the answer; NULL */
+  const char *echo;    /* header whose value in the answer must be ECHO_VALUE,
+                          if present; NULL: not checked */
   const char *echo_value;
-  gint64 connect_timeout; /* us until a new connection must stand */
-  gint64 answer_timeout;  /* us until the whole answer must be here ... */
-  gint64 stall_timeout; /* ... unless it goes on arriving, with no pause longer
-                          than this, us; 0: no exception */
-  gint64 extend_max;    /* ... and for so much longer in all, us */
-  gint64 idle_max;      /* reuse a connection idle no longer, us; 0: new one */
-  gint64 connected_by; /* use only a kept one that was open at this time, us, so
-                          that the peer is the process that it was then; 0: any
-                        */
-  gboolean closes;     /* the peer is told that nothing follows on it */
-  guint connections_max; /* open connections to this address; 0: no bound */
+  gint64 connect_timeout; /* for a new connection, us */
+  gint64 answer_timeout;  /* for the complete answer, connecting included, us */
+  gint64 stall_timeout; /* the answer timeout is extended while bytes arrive at
+                            intervals up to this, us; 0: never extended */
+  gint64 extend_max;    /* limit of all extensions together, us */
+  gint64 idle_max;     /* reuse connections idle for at most this, us; 0: always
+                           open a new one */
+  gint64 connected_by; /* use only an idle connection that was open at this
+                          time, us of cc_clock_now, which proves that the peer
+                          is the same process as then; 0: any connection */
+  gboolean closes; /* sends "Connection: close", and closes the connection */
+  guint connections_max; /* open connections to this address; 0: no limit */
 } CcHttpRequest;
 
 typedef struct
 {
   CcHttpOutcome end;
-  const char *why;     /* of an end without answer, one word */
-  gboolean reused;     /* it went out on a kept connection */
-  gint64 connected_at; /* when its connection was opened, us; 0: it was not */
-  gsize received;      /* bytes that came, of an incomplete answer too */
+  const char *why;     /* cause, if there is no answer; one word */
+  gboolean reused;     /* sent on a reused connection */
+  gint64 connected_at; /* when its connection was established, us; 0: never */
+  gsize received;      /* bytes received, also of an incomplete answer */
   guint status;        /* of an answer */
-  GVariant *headers;   /* packed, see headers.h */
-  GBytes *body;
+  GVariant *headers;   /* of an answer, packed (headers.h) */
+  GBytes *body;        /* of an answer */
 } CcHttpResult;
 
-/* R is valid during the call. */
+/* Called once, with the result of a call; R is valid during it. */
 typedef void (*CcHttpDone) (const CcHttpResult *r, gpointer data);
 
 CcHttp *cc_http_new (const char *local_ip);
 void cc_http_free (CcHttp *h);
-CcHttpCall *cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done,
-                          gpointer data);
+CcHttpCall *cc_http_send (CcHttp *h, const CcHttpRequest *request,
+                          CcHttpDone done, gpointer data);
 void cc_http_cancel (CcHttpCall *c);
 void cc_http_close_idle (CcHttp *h, const char *address);
 guint cc_http_open_connections (const CcHttp *h);
--- a/http_pool.c
+++ b/http_pool.c
@@ -1,7 +1,9 @@
-/* The connections of a client, by peer: opened, kept while idle, closed.
+/* The connection pool of an HTTP client: opens connections, keeps idle ones for
+ * each peer, and closes them.
  *
- * Connections can go silent for good with nobody telling.  TCP's own probes
- * show it within KEEPALIVE_* and cost a packet a second on idle ones only. */
+ * A connection can fail without either side being notified.  TCP keepalive
+ * probes detect that within the times below, at a cost of one packet a second
+ * on idle connections only. */
 #include "http_state.h"
 
 #include <netinet/in.h>
@@ -11,10 +13,10 @@
 #include "clock.h"
 #include "settings.h"
 
-#define KEEPALIVE_IDLE_S 1   /* seconds without a byte before a probe */
-#define KEEPALIVE_PERIOD_S 1 /* seconds between probes */
-#define KEEPALIVE_PROBES 2   /* unanswered ones that end a connection */
-#define USER_TIMEOUT_MS 2500 /* bytes unacknowledged that end a connection */
+#define KEEPALIVE_IDLE_S 1   /* idle time before the first probe */
+#define KEEPALIVE_PERIOD_S 1 /* time between probes */
+#define KEEPALIVE_PROBES 2   /* unanswered probes that end a connection */
+#define USER_TIMEOUT_MS 2500 /* sent data unacknowledged for so long */
 
 static void
 peer_free (gpointer data)
@@ -22,28 +24,28 @@
   CcHttpPeer *p = data;
 
   g_ptr_array_unref (p->idle);
-  g_object_unref (p->where);
+  g_object_unref (p->socket_address);
   g_free (p);
 }
 
-/* A client whose connections come from LOCAL_IP. */
+/* Returns a client whose connections have the source address LOCAL_IP. */
 CcHttp *
 cc_http_new (const char *local_ip)
 {
   CcHttp *h = g_new0 (CcHttp, 1);
 
-  h->local = g_inet_address_new_from_string (local_ip);
+  h->local_address = g_inet_address_new_from_string (local_ip);
   h->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, peer_free);
   return h;
 }
 
-/* Makes the close of C a reset.
+/* Makes the close of C a reset, which discards data that was not delivered.
  *
- * The failure: the peer is cut off, a call to it is given up, and its bytes
- * wait in the kernel.  After a plain close they are still delivered when the
- * link heals.  The symptom: a grant of keys that were given to another long ago
- * arrives and is honoured, or work begins whose caller was told that it failed.
- * A reset drops what has not been delivered. */
+ * Failure: the peer is cut off and a call to it times out while its bytes are
+ * in the kernel's send buffer.  After a normal close they are still delivered
+ * when the network recovers.  Symptom: the peer accepts a grant of keys that
+ * have long been given to another server, or starts work that was reported to
+ * its caller as failed. */
 void
 cc_http_connection_reset_on_close (CcHttpConnection *c)
 {
@@ -53,7 +55,7 @@
                      &at_once, sizeof at_once);
 }
 
-/* Closes C, whose call has ended, and frees it. */
+/* Closes and frees C, which must have no call. */
 void
 cc_http_connection_close (CcHttpConnection *c)
 {
@@ -66,7 +68,7 @@
   g_free (c);
 }
 
-/* C, whose call has ended, may carry another. */
+/* Keeps C, whose call has ended, as an idle connection. */
 void
 cc_http_connection_keep (CcHttpConnection *c)
 {
@@ -76,9 +78,9 @@
   cc_fd_watch_want (&c->watch, G_IO_IN);
 }
 
-/* A kept connection was silent or dead: so may be all that are kept from the
- * same time.  Tried one after the other, each would cost a call its whole
- * time-out. */
+/* Closes all idle connections to P.  After a call on a reused connection failed
+ * or timed out, the other idle connections are likely dead as well, and each
+ * would cost another call its whole timeout. */
 void
 cc_http_peer_close_idle (CcHttpPeer *p)
 {
@@ -86,7 +88,7 @@
     cc_http_connection_close (p->idle->pdata[0]);
 }
 
-/* Ends what is idle.  Calls must have ended before. */
+/* Frees H and its idle connections.  All calls must have ended. */
 void
 cc_http_free (CcHttp *h)
 {
@@ -98,7 +100,7 @@
     while (((CcHttpPeer *) peer)->idle->len > 0)
       cc_http_connection_close (((CcHttpPeer *) peer)->idle->pdata[0]);
   g_hash_table_unref (h->peers);
-  g_object_unref (h->local);
+  g_object_unref (h->local_address);
   g_free (h);
 }
 
@@ -118,14 +120,15 @@
     { IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS },
   };
 
-  /* A kernel without one of them still carries requests; each call has a
-   * time-out of its own. */
+  /* Errors are ignored: requests work without these options, since each call
+   * has a timeout of its own. */
   for (guint i = 0; i < G_N_ELEMENTS (options); i++)
     (void) setsockopt (fd, options[i].level, options[i].name, &options[i].value,
                        sizeof options[i].value);
 }
 
-/* The connections to ADDRESS (IP:PORT); NULL: it can't be read. */
+/* The peer at ADDRESS (IP:PORT), which is created if needed; NULL: ADDRESS is
+ * invalid. */
 CcHttpPeer *
 cc_http_find_peer (CcHttp *h, const char *address)
 {
@@ -138,22 +141,23 @@
   if (!cc_address_parse (address, &ip, &port))
     return NULL;
   p = g_new0 (CcHttpPeer, 1);
-  p->where = g_inet_socket_address_new_from_string (ip, port);
+  p->socket_address = g_inet_socket_address_new_from_string (ip, port);
   p->idle = g_ptr_array_new ();
   g_hash_table_insert (h->peers, g_strdup (address), p);
   return p;
 }
 
-/* Whether C has nothing to read: a server's close or stray bytes. */
+/* Whether C has nothing to read.  An idle connection with something to read was
+ * closed by the peer or has received stray bytes. */
 static gboolean
-is_quiet (CcHttpConnection *c)
+has_nothing_to_read (CcHttpConnection *c)
 {
   return g_socket_condition_check (c->socket, G_IO_IN | G_IO_HUP | G_IO_ERR) ==
          0;
 }
 
-/* An idle connection that was used not longer than IDLE_MAX ago, or NULL.  The
- * one used last is at the end, so if it is too old, all are. */
+/* Takes the most recently used idle connection to P out of the pool; NULL if it
+ * has been idle for longer than IDLE_MAX us, as then all have been. */
 CcHttpConnection *
 cc_http_connection_take_idle (CcHttpPeer *p, gint64 idle_max)
 {
@@ -162,14 +166,15 @@
   while (p->idle->len > 0)
     {
       CcHttpConnection *c = p->idle->pdata[p->idle->len - 1];
-      /* The peer's own limit may strike while the request is on its way, and
-       * then nobody knows whether it ran: half of it is safe on any link. */
+      /* The peer may close the connection at its own limit while the request is
+       * in transit, which leaves the outcome unknown.  Half of that limit is
+       * safe on any link. */
       gint64 limit =
           c->idle_limit > 0 ? MIN (idle_max, c->idle_limit / 2) : idle_max;
 
       if (now - c->idle_since > limit)
         return NULL;
-      if (is_quiet (c))
+      if (has_nothing_to_read (c))
         {
           g_ptr_array_set_size (p->idle, (gint) p->idle->len - 1);
           return c;
@@ -179,9 +184,10 @@
   return NULL;
 }
 
-/* An idle connection that was open at OPENED_BY and was used not longer than
- * IDLE_MAX ago, or NULL.  The peer's own limit is not observed: who asks for an
- * old one can do without an answer. */
+/* Takes an idle connection to P out of the pool that was open at OPENED_BY, us
+ * of cc_clock_now, and has been idle for at most IDLE_MAX us, or returns NULL.
+ * The peer's own limit is ignored, since requests that require an existing
+ * connection tolerate the loss of their answer. */
 CcHttpConnection *
 cc_http_connection_take_older (CcHttpPeer *p, gint64 idle_max, gint64 opened_by)
 {
@@ -192,7 +198,7 @@
       CcHttpConnection *c = p->idle->pdata[i - 1];
 
       if (c->opened_at > opened_by || now - c->idle_since > idle_max ||
-          !is_quiet (c))
+          !has_nothing_to_read (c))
         continue;
       g_ptr_array_remove_index (p->idle, i - 1);
       return c;
@@ -200,8 +206,8 @@
   return NULL;
 }
 
-/* A new connection to P, which is being opened; NULL: none can be.  READY is
- * called from then on. */
+/* Starts to open a connection to P.  READY is called when it is established or
+ * has failed, and for each later event.  Returns NULL on failure. */
 CcHttpConnection *
 cc_http_connection_open (CcHttp *h, CcHttpPeer *p, CcHttpReady ready)
 {
@@ -215,9 +221,9 @@
     return NULL;
   g_socket_set_blocking (s, FALSE);
   set_options (s);
-  from = g_inet_socket_address_new (h->local, 0);
+  from = g_inet_socket_address_new (h->local_address, 0);
   if (!g_socket_bind (s, from, FALSE, NULL) ||
-      (!g_socket_connect (s, p->where, NULL, &error) &&
+      (!g_socket_connect (s, p->socket_address, NULL, &error) &&
        !g_error_matches (error, G_IO_ERROR, G_IO_ERROR_PENDING)))
     {
       g_object_unref (s);
@@ -244,14 +250,14 @@
     cc_http_peer_close_idle (p);
 }
 
-/* Connections that are open now. */
+/* The number of connections that are open or being opened. */
 guint
 cc_http_open_connections (const CcHttp *h)
 {
   return h->open;
 }
 
-/* Connections that were opened since the start. */
+/* The number of connections opened since the start. */
 guint64
 cc_http_connections_opened (const CcHttp *h)
 {
--- a/http_state.h
+++ b/http_state.h
@@ -1,5 +1,5 @@
-/* The state of a client and of its connections, for http_link.c and http_pool.c
- * only. */
+/* The state of an HTTP client and its connections, private to http_link.c and
+ * http_pool.c. */
 #ifndef CC_HTTP_STATE_H
 #define CC_HTTP_STATE_H
 
@@ -12,17 +12,17 @@
 /* The connections to one address. */
 typedef struct
 {
-  GSocketAddress *where;
-  GPtrArray *idle; /* of CcHttpConnection, the one used last at the end */
+  GSocketAddress *socket_address;
+  GPtrArray *idle; /* of CcHttpConnection, the most recently used last */
   guint open;      /* connections, idle ones included */
 } CcHttpPeer;
 
 struct CcHttp
 {
-  GInetAddress *local; /* calls come from it */
-  GHashTable *peers;   /* address to CcHttpPeer */
-  guint open;          /* connections of all peers */
-  guint64 opened;      /* connections ever opened */
+  GInetAddress *local_address; /* source address of connections */
+  GHashTable *peers;           /* address to CcHttpPeer */
+  guint open;                  /* connections of all peers */
+  guint64 opened;              /* connections opened since the start */
 };
 
 typedef struct
@@ -33,17 +33,18 @@
   CcFdWatch watch;  /* of SOCKET */
   CcHttpCall *call; /* in progress; NULL: idle */
   http_parser parser;
-  gint64 opened_at;  /* us; 0: not yet */
+  gint64 opened_at;  /* when it was established, us; 0: not yet */
   gint64 idle_since; /* us */
-  gint64 idle_limit; /* us that the peer keeps it idle; 0: not said */
+  gint64 idle_limit; /* the peer's Keep-Alive timeout, us; 0: unknown */
   gboolean connected;
-  gboolean used;     /* has carried a request before this one */
-  gboolean tainted;  /* to be closed after this call */
-  gboolean finished; /* the parser saw the whole answer */
-  gboolean skipping; /* the answer is another request's */
+  gboolean used;             /* has carried an earlier request */
+  gboolean close_after_call; /* must not be reused */
+  gboolean finished;         /* the complete answer was parsed */
+  gboolean skipping;         /* the answer being parsed is to another request */
 } CcHttpConnection;
 
-/* C, which is DATA, can be read or written, or has failed: SEEN. */
+/* DATA, a CcHttpConnection, is readable or writable, or has failed, as SEEN
+ * says. */
 typedef void (*CcHttpReady) (GIOCondition seen, gpointer data);
 
 CcHttpPeer *cc_http_find_peer (CcHttp *h, const char *address);
--- a/test/test_http_link.c
+++ b/test/test_http_link.c
@@ -1,6 +1,6 @@
-/* What a call says of its end, against a server that answers byte by byte as
- * told.  A wrong word here turns into work that runs twice, or an answer that
- * reaches another caller. */
+/* Guards against a wrong result of a call, by which work would run twice or an
+ * answer reach another caller.  A scripted server sends the bytes of each case.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -87,8 +87,8 @@
   GPtrArray *streams; /* open connections */
   guint accepted;
   gsize received;      /* bytes of all requests */
-  gssize read_end;     /* of a connection that was watched to its end */
-  gboolean reset;      /* it ended by a reset */
+  gssize read_end;     /* last result of a read, 0 or negative */
+  gboolean reset;      /* the last connection to end was reset */
   guint byte_every_ms; /* answers are sent byte by byte; 0: at once */
   gsize bytes_sent;
 } server;
@@ -183,7 +183,8 @@
   g_autoptr (GSocketAddress) got = NULL;
 
   (void) state;
-  /* Timers come before sockets in an iteration of the main loop. */
+  /* Starts the timers first, so that their source precedes those of sockets in
+   * the main loop. */
   cc_timer_start (&first, 0, on_first_timer, NULL);
   server.service = g_socket_service_new ();
   server.streams = g_ptr_array_new_with_free_func (g_object_unref);
@@ -213,21 +214,21 @@
 static void
 on_done (const CcHttpResult *r, gpointer data)
 {
-  Outcome *o = data;
+  Outcome *outcome = data;
   gsize size = 0;
   gconstpointer bytes =
       r->body != NULL ? g_bytes_get_data (r->body, &size) : NULL;
 
-  o->ended = TRUE;
-  o->end = r->end;
-  o->status = r->status;
-  o->connected_at = r->connected_at;
+  outcome->ended = TRUE;
+  outcome->end = r->end;
+  outcome->status = r->status;
+  outcome->connected_at = r->connected_at;
   if (size > 0)
-    memcpy (o->body, bytes, MIN (size, sizeof o->body - 1));
+    memcpy (outcome->body, bytes, MIN (size, sizeof outcome->body - 1));
 }
 
 static CcHttpRequest
-order_to (const char *address)
+request_to (const char *address)
 {
   return (CcHttpRequest){ .address = address,
                           .head = "GET /x HTTP/1.1\r\nHost: a\r\n",
@@ -239,11 +240,11 @@
 }
 
 static Outcome
-call (CcHttp *h, const CcHttpRequest *o)
+call (CcHttp *h, const CcHttpRequest *request)
 {
   Outcome out = { 0 };
 
-  assert_non_null (cc_http_send (h, o, on_done, &out));
+  assert_non_null (cc_http_send (h, request, on_done, &out));
   while (!out.ended)
     g_main_context_iteration (NULL, TRUE);
   return out;
@@ -251,7 +252,7 @@
 
 /* Runs the main loop for MS ms. */
 static void
-turn (guint ms)
+run_loop (guint ms)
 {
   gint64 until = g_get_monotonic_time () + ms * CC_MS;
 
@@ -263,7 +264,7 @@
 }
 
 static void
-ends_are_told_as_they_are (void **state)
+results_match_what_the_server_did (void **state)
 {
   static const Case good = { "good",    OK "Content-Length: 0\r\n\r\n",
                              THEN_KEEP, CC_HTTP_ANSWERED,
@@ -275,19 +276,19 @@
     {
       const Case *c = &cases[i];
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpRequest o = order_to (server.address);
+      CcHttpRequest request = request_to (server.address);
       Outcome out;
       guint accepted;
 
       server.playing = c;
-      out = call (h, &o);
+      out = call (h, &request);
       if (out.end != c->end || out.status != c->status ||
           strcmp (out.body, c->body) != 0)
         fail_msg ("%s: end %d, status %u, body \"%s\"", c->name, out.end,
                   out.status, out.body);
       server.playing = &good;
       accepted = server.accepted;
-      call (h, &o);
+      call (h, &request);
       if ((server.accepted == accepted) != c->kept)
         fail_msg ("%s: the connection was %s", c->name,
                   c->kept ? "not kept" : "kept");
@@ -295,69 +296,68 @@
     }
 }
 
-/* Guards against a request that is lost in the close of a connection which the
- * peer was asked to close. */
+/* Guards against a request that is lost because it is sent on a connection that
+ * the peer was asked to close. */
 static void
-nothing_follows_a_call_that_closes (void **state)
+no_call_reuses_a_connection_to_be_closed (void **state)
 {
   static const Case good = { "good",    OK "Content-Length: 0\r\n\r\n",
                              THEN_KEEP, CC_HTTP_ANSWERED,
                              200,       "",
                              TRUE };
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpRequest o = order_to (server.address);
+  CcHttpRequest request = request_to (server.address);
   guint accepted;
 
   (void) state;
   server.playing = &good;
-  o.closes = TRUE;
-  assert_int_equal (call (h, &o).end, CC_HTTP_ANSWERED);
+  request.closes = TRUE;
+  assert_int_equal (call (h, &request).end, CC_HTTP_ANSWERED);
   accepted = server.accepted;
-  o.closes = FALSE;
-  assert_int_equal (call (h, &o).end, CC_HTTP_ANSWERED);
+  request.closes = FALSE;
+  assert_int_equal (call (h, &request).end, CC_HTTP_ANSWERED);
   assert_int_equal (server.accepted, accepted + 1);
   cc_http_free (h);
 }
 
-/* Nobody listens: nothing left this process, so the request may go elsewhere.
- */
+/* Nothing was sent, so the request may be sent to another server. */
 static void
 a_refused_connection_is_unsent (void **state)
 {
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpRequest o = order_to ("127.0.0.1:1");
+  CcHttpRequest request = request_to ("127.0.0.1:1");
 
   (void) state;
-  assert_int_equal (call (h, &o).end, CC_HTTP_UNSENT);
+  assert_int_equal (call (h, &request).end, CC_HTTP_UNSENT);
   cc_http_free (h);
 }
 
-/* A caller is told that its request was given up, while the bytes wait behind a
- * cut.  Delivered after the heal they would still be worked on.  So the close
- * must be a reset, which drops them. */
+/* Guards against a request that runs after it was reported as failed: its bytes
+ * are buffered during a network outage and delivered afterwards.  A reset
+ * discards them. */
 static void
 a_call_that_is_given_up_resets_its_connection (void **state)
 {
   static const Case silent = { "silent", "", THEN_KEEP, CC_HTTP_TIMED_OUT,
                                0,        "", FALSE };
   CcHttp *h = cc_http_new ("127.0.0.1");
-  CcHttpRequest o = order_to (server.address);
+  CcHttpRequest request = request_to (server.address);
   Outcome out = { 0 };
   CcHttpCall *cancelled;
 
   (void) state;
   server.playing = &silent;
   server.reset = FALSE;
-  assert_int_equal (call (h, &o).end, CC_HTTP_TIMED_OUT);
-  turn (50);
+  assert_int_equal (call (h, &request).end, CC_HTTP_TIMED_OUT);
+  run_loop (50);
   assert_true (server.reset);
   server.reset = FALSE;
-  o.idle_max = 0;
-  cancelled = cc_http_send (h, &o, on_done, &out);
-  turn (50);
+  request.idle_max = 0;
+  cancelled = cc_http_send (h, &request, on_done, &out);
+  run_loop (50);
   assert_false (out.ended);
   cc_http_cancel (cancelled);
-  turn (50);
+  run_loop (50);
   assert_true (server.reset);
   assert_false (out.ended);
   cc_http_free (h);
@@ -373,7 +373,7 @@
   CcHttpOutcome end;
 } Slow;
 
-/* Each of these takes longer than WITHIN, or never ends. */
+/* Answers that take longer than WITHIN or never end. */
 static const Slow slow_answers[] = {
   { "goes on", 15, 150 * CC_MS, CC_SECOND, OK "Content-Length: 2\r\n\r\nhi",
     CC_HTTP_ANSWERED },
@@ -387,9 +387,9 @@
     OK "Content-Length: 5\r\n\r\nhi", CC_HTTP_TIMED_OUT },
 };
 
-/* Guards against a large answer that is given up while it arrives. */
+/* Guards against a large answer that times out while it is still arriving. */
 static void
-an_answer_that_goes_on_is_waited_for (void **state)
+a_slow_answer_is_awaited_while_it_arrives (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (slow_answers); i++)
@@ -397,24 +397,24 @@
       const Slow *s = &slow_answers[i];
       const Case playing = { .name = s->name, .bytes = s->bytes };
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpRequest o = order_to (server.address);
+      CcHttpRequest request = request_to (server.address);
       Outcome out;
 
-      o.stall_timeout = s->stall_timeout;
-      o.extend_max = s->extend_max;
+      request.stall_timeout = s->stall_timeout;
+      request.extend_max = s->extend_max;
       server.playing = &playing;
       server.byte_every_ms = s->byte_every_ms;
-      out = call (h, &o);
+      out = call (h, &request);
       server.byte_every_ms = 0;
       server.bytes_sent = strlen (s->bytes);
-      turn (30);
+      run_loop (30);
       if (out.end != s->end)
         fail_msg ("%s: end %d", s->name, out.end);
       cc_http_free (h);
     }
 }
 
-/* Answers one request 50 ms after it came, while the main thread sleeps. */
+/* Answers one request 50 ms after it arrived, while the main thread sleeps. */
 static gpointer
 answer_later (gpointer data)
 {
@@ -431,10 +431,10 @@
   return NULL;
 }
 
-/* Guards against an answer that is given up unread, since this process stood
- * still for longer than it may take. */
+/* Guards against an answer that times out unread because this process was
+ * stalled for longer than the timeout. */
 static void
-an_answer_that_is_there_is_read (void **state)
+an_answer_that_arrived_is_read_after_a_stall (void **state)
 {
   static const struct
   {
@@ -449,14 +449,14 @@
       guint16 port = g_socket_listener_add_any_inet_port (l, NULL, NULL);
       g_autofree char *address = g_strdup_printf ("127.0.0.1:%u", port);
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpRequest o = order_to (address);
+      CcHttpRequest request = request_to (address);
       GThread *peer = g_thread_new ("peer", answer_later, l);
       Outcome out = { 0 };
 
-      o.stall_timeout = stalls[i].stall_timeout;
-      o.extend_max = CC_SECOND;
-      assert_non_null (cc_http_send (h, &o, on_done, &out));
-      turn (20);
+      request.stall_timeout = stalls[i].stall_timeout;
+      request.extend_max = CC_SECOND;
+      assert_non_null (cc_http_send (h, &request, on_done, &out));
+      run_loop (20);
       g_usleep (WITHIN + 50 * CC_MS);
       while (!out.ended)
         g_main_context_iteration (NULL, TRUE);
@@ -468,10 +468,10 @@
     }
 }
 
-/* Guards against a call that is meant for the process which answered before and
+/* Guards against a call that is meant for the process that answered before, but
  * reaches its successor at the same address. */
 static void
-a_call_may_ask_for_a_connection_that_was_open (void **state)
+a_call_may_require_an_existing_connection (void **state)
 {
   static const Case keeps = { .name = "keeps",
                               .bytes = OK "Content-Length: 0\r\n\r\n" };
@@ -481,39 +481,40 @@
   static const struct
   {
     const Case *first;
-    gint64 after; /* the time asked for, after the first was opened, us */
+    gint64 after; /* connected_by, relative to the first connection, us */
     gboolean sent;
-  } orders[] = { { &keeps, 0, TRUE },
-                 { &keeps, -1, FALSE },
-                 { &closes, 0, FALSE } };
+  } requests[] = { { &keeps, 0, TRUE },
+                   { &keeps, -1, FALSE },
+                   { &closes, 0, FALSE } };
 
   (void) state;
-  for (guint i = 0; i < G_N_ELEMENTS (orders); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (requests); i++)
     {
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpRequest o = order_to (server.address);
+      CcHttpRequest request = request_to (server.address);
       Outcome first, second = { 0 };
       guint accepted;
 
-      server.playing = orders[i].first;
-      first = call (h, &o);
+      server.playing = requests[i].first;
+      first = call (h, &request);
       assert_int_equal (first.end, CC_HTTP_ANSWERED);
-      turn (20);
+      run_loop (20);
       accepted = server.accepted;
       server.playing = &keeps;
-      o.connected_by = first.connected_at + orders[i].after;
-      if ((cc_http_send (h, &o, on_done, &second) != NULL) != orders[i].sent)
+      request.connected_by = first.connected_at + requests[i].after;
+      if ((cc_http_send (h, &request, on_done, &second) != NULL) !=
+          requests[i].sent)
         fail_msg ("order %u", i);
-      while (orders[i].sent && !second.ended)
+      while (requests[i].sent && !second.ended)
         g_main_context_iteration (NULL, TRUE);
       assert_int_equal (server.accepted, accepted);
       assert_int_equal (second.connected_at,
-                        orders[i].sent ? first.connected_at : 0);
+                        requests[i].sent ? first.connected_at : 0);
       cc_http_free (h);
     }
 }
 
-/* Holds the main loop up once. */
+/* Stalls the main loop once. */
 static void
 on_stall (GIOCondition seen, gpointer data)
 {
@@ -522,10 +523,10 @@
   g_usleep (WITHIN + 50 * CC_MS);
 }
 
-/* Guards against a request that is written after its time, by a process that
- * was slow: whoever counts on its end by then meets its effects later. */
+/* Guards against a slow process that sends a request after its timeout, when
+ * others rely on it not taking effect any more. */
 static void
-nothing_is_sent_after_its_time (void **state)
+nothing_is_sent_after_its_timeout (void **state)
 {
   static const Case good = { "good",    OK "Content-Length: 0\r\n\r\n",
                              THEN_KEEP, CC_HTTP_ANSWERED,
@@ -538,24 +539,24 @@
   for (guint i = 0; i < G_N_ELEMENTS (kept); i++)
     {
       CcHttp *h = cc_http_new ("127.0.0.1");
-      CcHttpRequest o = order_to (server.address);
+      CcHttpRequest request = request_to (server.address);
       CcFdWatch stall;
       int ends[2];
       Outcome out = { 0 };
       gsize received;
 
       if (kept[i])
-        assert_int_equal (call (h, &o).end, CC_HTTP_ANSWERED);
-      turn (20);
+        assert_int_equal (call (h, &request).end, CC_HTTP_ANSWERED);
+      run_loop (20);
       received = server.received;
       assert_int_equal (pipe (ends), 0);
       assert_int_equal (write (ends[1], "x", 1), 1);
-      /* It is ready before the connection, and seen in the same turn. */
+      /* Ready before the connection, and handled in the same iteration. */
       cc_fd_watch_start (&stall, ends[0], G_IO_IN, on_stall, &stall);
-      assert_non_null (cc_http_send (h, &o, on_done, &out));
+      assert_non_null (cc_http_send (h, &request, on_done, &out));
       while (!out.ended)
         g_main_context_iteration (NULL, TRUE);
-      turn (20);
+      run_loop (20);
       if (out.end != CC_HTTP_UNSENT || server.received != received)
         fail_msg ("%s: end %d, %d bytes sent", kept[i] ? "kept" : "new",
                   out.end, (int) (server.received - received));
@@ -569,14 +570,14 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (ends_are_told_as_they_are),
-    cmocka_unit_test (nothing_follows_a_call_that_closes),
+    cmocka_unit_test (results_match_what_the_server_did),
+    cmocka_unit_test (no_call_reuses_a_connection_to_be_closed),
     cmocka_unit_test (a_refused_connection_is_unsent),
     cmocka_unit_test (a_call_that_is_given_up_resets_its_connection),
-    cmocka_unit_test (an_answer_that_goes_on_is_waited_for),
-    cmocka_unit_test (an_answer_that_is_there_is_read),
-    cmocka_unit_test (a_call_may_ask_for_a_connection_that_was_open),
-    cmocka_unit_test (nothing_is_sent_after_its_time),
+    cmocka_unit_test (a_slow_answer_is_awaited_while_it_arrives),
+    cmocka_unit_test (an_answer_that_arrived_is_read_after_a_stall),
+    cmocka_unit_test (a_call_may_require_an_existing_connection),
+    cmocka_unit_test (nothing_is_sent_after_its_timeout),
   };
 
   return cmocka_run_group_tests (tests, start_server, NULL);
