--- a/routes.c
+++ b/routes.c
@@ -1,17 +1,18 @@
-/* Routes by host and longest prefix, and shares of pools by weight.
+/* Finds routes by host and longest prefix, and splits a route's requests among
+ * its pools by weight.
  *
- * Shares: each request goes to the pool that is furthest behind its share
- * (smooth weighted round-robin).  Drawn by lot, a few hundred requests spread
- * over a dozen entries would miss a share of a tenth by a third.  The first
- * turn begins at a random place, or all entries would send their first request
- * to the same pool. */
+ * Each request goes to the pool that is furthest behind its share (smooth
+ * weighted round-robin).  With a random choice, a few hundred requests over
+ * twelve gateways would miss a share of a tenth by a third.  The initial state
+ * is random, or all gateways would send their first request to the same pool.
+ */
 #include "routes.h"
 
 #include <string.h>
 
 #include <xxhash.h>
 
-/* What callers may send while the configuration doesn't say. */
+/* Limits that apply unless the configuration sets them. */
 #define HEADERS_DEFAULT CC_HEADERS_MAX
 #define BODY_DEFAULT CC_BODY_MAX
 #define IDLE_DEFAULT (60 * CC_SECOND)
@@ -43,7 +44,7 @@
   g_free (r);
 }
 
-/* A text that is part of another and has no terminator. */
+/* Part of a string, not terminated. */
 typedef struct
 {
   const char *at;
@@ -52,13 +53,13 @@
 
 /* The routes of one host.
  *
- * Load pattern: thousands of routes stand for one host, and each request of a
- * small instance looks for its own.  A prefix is found by its bytes, once for
- * each length that any prefix of the host has. */
+ * Load pattern: one host has thousands of routes, and small instances look one
+ * up for each request.  A lookup takes one hash per distinct prefix length of
+ * the host, however many routes it has. */
 typedef struct
 {
-  GHashTable *by_prefix; /* Span within the route's prefix to CcRoute */
-  GArray *lengths;       /* gsize, of all prefixes, the longest first */
+  GHashTable *by_prefix; /* Span of the route's prefix to CcRoute */
+  GArray *lengths;       /* of gsize: distinct prefix lengths, longest first */
 } HostRoutes;
 
 static guint
@@ -99,7 +100,7 @@
 }
 
 static void
-note_length (HostRoutes *h, gsize length)
+add_length (HostRoutes *h, gsize length)
 {
   guint i = 0;
 
@@ -109,7 +110,7 @@
     g_array_insert_val (h->lengths, i, length);
 }
 
-/* A configuration of VERSION without routes and with default limits. */
+/* Returns a configuration of VERSION with default limits and no routes. */
 CcRoutes *
 cc_routes_new (guint64 version)
 {
@@ -136,7 +137,7 @@
   g_free (r);
 }
 
-/* Adds a copy of POOL, in place of one with the same name. */
+/* Adds a copy of POOL, replacing one with the same name. */
 void
 cc_routes_add_pool (CcRoutes *r, const CcRoutePool *pool)
 {
@@ -147,15 +148,15 @@
   g_hash_table_replace (r->pools, p->name, p);
 }
 
-/* Adds a route for HOST and PREFIX, in place of one with the same two, and
- * returns it, to be filled in. */
+/* Adds a route for HOST and PREFIX, replacing one with the same two, and
+ * returns it; the caller sets its remaining fields. */
 CcRoute *
 cc_routes_add (CcRoutes *r, const char *name, const char *host,
                const char *prefix)
 {
   CcRoute *route = g_new0 (CcRoute, 1);
   g_autofree char *lower = g_ascii_strdown (host, -1);
-  HostRoutes *list = g_hash_table_lookup (r->hosts, lower);
+  HostRoutes *host_routes = g_hash_table_lookup (r->hosts, lower);
   Span *key = g_new (Span, 1);
 
   route->name = g_strdup (name);
@@ -163,14 +164,14 @@
   route->prefix = g_strdup (prefix);
   route->parts = g_array_new (FALSE, FALSE, sizeof (CcRoutePart));
   g_array_set_clear_func (route->parts, part_clear);
-  if (list == NULL)
+  if (host_routes == NULL)
     {
-      list = host_routes_new ();
-      g_hash_table_insert (r->hosts, g_steal_pointer (&lower), list);
+      host_routes = host_routes_new ();
+      g_hash_table_insert (r->hosts, g_steal_pointer (&lower), host_routes);
     }
   *key = (Span){ route->prefix, strlen (route->prefix) };
-  note_length (list, key->length);
-  r->count += g_hash_table_replace (list->by_prefix, key, route) ? 1 : 0;
+  add_length (host_routes, key->length);
+  r->count += g_hash_table_replace (host_routes->by_prefix, key, route) ? 1 : 0;
   return route;
 }
 
@@ -185,23 +186,24 @@
   g_array_append_val (route->parts, part);
 }
 
-/* The route with the longest prefix of PATH among those of HOST, which may
- * bear a port, or NULL.  A query is no part of PATH. */
+/* The route of HOST with the longest prefix of PATH, or NULL.  HOST may include
+ * a port; PATH must not include a query. */
 CcRoute *
 cc_routes_find (const CcRoutes *r, const char *host, const char *path)
 {
   const char *colon = strrchr (host, ':');
   g_autofree char *name =
       g_ascii_strdown (host, colon != NULL ? colon - host : -1);
-  const HostRoutes *list = g_hash_table_lookup (r->hosts, name);
+  const HostRoutes *host_routes = g_hash_table_lookup (r->hosts, name);
   gsize size = strlen (path);
 
-  for (guint i = 0; list != NULL && i < list->lengths->len; i++)
+  for (guint i = 0; host_routes != NULL && i < host_routes->lengths->len; i++)
     {
-      Span prefix = { path, g_array_index (list->lengths, gsize, i) };
-      CcRoute *found = prefix.length <= size
-                           ? g_hash_table_lookup (list->by_prefix, &prefix)
-                           : NULL;
+      Span prefix = { path, g_array_index (host_routes->lengths, gsize, i) };
+      CcRoute *found =
+          prefix.length <= size
+              ? g_hash_table_lookup (host_routes->by_prefix, &prefix)
+              : NULL;
 
       if (found != NULL)
         return found;
@@ -216,8 +218,8 @@
   return g_hash_table_lookup (r->pools, name);
 }
 
-/* The pool that the next request of ROUTE goes to, or NULL if all its weights
- * are zero. */
+/* Chooses the pool for the next request of ROUTE; NULL if all its weights are
+ * zero. */
 const char *
 cc_route_next_pool (CcRoute *route)
 {
--- a/routes.h
+++ b/routes.h
@@ -1,16 +1,15 @@
-/* The configuration that requests are routed by: routes, the pools they lead
- * to, and what callers may send. */
+/* The routing configuration: routes, pools, and limits on callers' requests. */
 #ifndef CC_ROUTES_H
 #define CC_ROUTES_H
 
 #include "capercrank.h"
 
-/* A set of upstreams that serve the same work. */
+/* A set of upstreams that serve the same requests. */
 typedef struct
 {
   char *name;
-  gboolean keyed;        /* each upstream owns ranges of keys alone */
-  guint connections_max; /* that one upstream accepts from all; 0: not said */
+  gboolean keyed;        /* each upstream owns key ranges exclusively */
+  guint connections_max; /* to one upstream from the whole fleet; 0: no limit */
 } CcRoutePool;
 
 /* A pool that gets a share of a route's requests. */
@@ -18,7 +17,7 @@
 {
   char *pool;
   guint weight;
-  gint64 credit; /* requests it is behind its share, in weights */
+  gint64 credit; /* how far the pool is behind its share, in units of weight */
 } CcRoutePart;
 
 typedef struct
@@ -26,26 +25,26 @@
   char *name;
   char *host;
   char *prefix;        /* of the path; begins and ends with a slash */
-  gboolean idempotent; /* may run more than once */
-  gint64 timeout;      /* longest time a caller is kept waiting, us */
-  gint64 target;       /* time within which an answer is wanted, us */
-  guint attempts;      /* upstreams that one request may be sent to */
+  gboolean idempotent; /* requests may run more than once */
+  gint64 timeout;      /* latest answer after a request's arrival, us */
+  gint64 target;       /* target response time, us */
+  guint attempts;      /* upstreams that one request may reach */
   guint priority;      /* 0 is the highest */
   GArray *parts;       /* of CcRoutePart, at least one */
 } CcRoute;
 
 typedef struct
 {
-  gsize headers_max;   /* bytes of a request's headers */
-  gsize body_max;      /* bytes of its body */
-  gint64 idle_timeout; /* a caller's connection may idle so long, us */
+  gsize headers_max;   /* size of a request's headers, bytes */
+  gsize body_max;      /* size of its body, bytes */
+  gint64 idle_timeout; /* of a caller's connection, us */
 } CcCallerLimits;
 
 typedef struct
 {
   guint64 version;
   GHashTable *pools; /* name to CcRoutePool */
-  GHashTable *hosts; /* host in lower case to its routes, of routes.c */
+  GHashTable *hosts; /* lower-case host to HostRoutes (routes.c) */
   guint count;       /* routes of all hosts */
   CcCallerLimits limits;
 } CcRoutes;
--- a/test/test_routes.c
+++ b/test/test_routes.c
@@ -1,4 +1,5 @@
-/* Routes by host and prefix, shares by weight, and the bound on repeats. */
+/* Guards against requests that take the wrong route, shares of pools that are
+ * missed, and a fleet that exceeds its retry budget. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -47,9 +48,9 @@
   cc_routes_free (r);
 }
 
-/* Operators write one route in place of another; the last one counts. */
+/* If two routes have the same host and prefix, the last one applies. */
 static void
-a_route_with_the_same_prefix_takes_the_place (void **state)
+a_route_with_the_same_prefix_replaces_the_first (void **state)
 {
   CcRoutes *r = cc_routes_new (1);
 
@@ -61,7 +62,8 @@
   cc_routes_free (r);
 }
 
-/* A dozen entries with a few requests each still keep a share of a tenth. */
+/* Guards against a share of a tenth that is missed when eleven gateways serve a
+ * few requests each. */
 static void
 shares_hold_over_few_requests_of_many_entries (void **state)
 {
@@ -89,7 +91,7 @@
 }
 
 static void
-a_route_without_weight_leads_nowhere (void **state)
+a_route_without_weight_has_no_pool (void **state)
 {
   CcRoutes *r = cc_routes_new (1);
   CcRoute *route = cc_routes_add (r, "x", "a", "/");
@@ -101,12 +103,12 @@
 }
 
 #define ENTRIES 11
-#define SECONDS 60 /* of play */
+#define SECONDS 60 /* of simulated time */
 
 static const CcRetryBound bound = { 0.2, 62, 10 * CC_SECOND };
 
-/* Requests of the entry with BUDGET, the E-th, in a tenth of a second until
- * NOW; each failure is repeated as often as the budget allows. */
+/* Simulates the requests of gateway E, which has BUDGET, in the tenth of a
+ * second before NOW; each failure is repeated as often as the budget allows. */
 static void
 play_entry (CcRetryBudget *budget, guint e, GRand *rand, gint64 now,
             guint *requests, guint *repeats)
@@ -122,9 +124,9 @@
     ++*repeats;
 }
 
-/* Everything fails and every entry repeats as often as it may, for a minute,
- * and some are killed and start anew.  In no window may the fleet make more
- * repeats than the operators allow. */
+/* Guards against a fleet that exceeds the retry budget in any window: for a
+ * minute all requests fail, every gateway repeats as often as it may, and some
+ * restart with an empty budget. */
 static void
 the_fleet_keeps_the_bound_in_every_window (void **state)
 {
@@ -141,15 +143,15 @@
                       &requests[t], &repeats[t]);
       for (guint from = 0; from + 100 <= SECONDS * 10; from++)
         {
-          guint asked = 0, again = 0;
+          guint total = 0, again = 0;
 
           for (guint t = from; t < from + 100; t++)
             {
-              asked += requests[t];
+              total += requests[t];
               again += repeats[t];
             }
-          if (again > bound.ratio * asked + bound.slack)
-            fail_msg ("seed %u: %u repeats of %u requests", seed, again, asked);
+          if (again > bound.ratio * total + bound.slack)
+            fail_msg ("seed %u: %u repeats of %u requests", seed, again, total);
         }
     }
 }
@@ -159,9 +161,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (the_longest_prefix_of_the_host_wins),
-    cmocka_unit_test (a_route_with_the_same_prefix_takes_the_place),
+    cmocka_unit_test (a_route_with_the_same_prefix_replaces_the_first),
     cmocka_unit_test (shares_hold_over_few_requests_of_many_entries),
-    cmocka_unit_test (a_route_without_weight_leads_nowhere),
+    cmocka_unit_test (a_route_without_weight_has_no_pool),
     cmocka_unit_test (the_fleet_keeps_the_bound_in_every_window),
   };
 
