--- a/body_limit.c
+++ b/body_limit.c
@@ -1,23 +1,24 @@
-/* The failure: a body of any size is gathered in memory before the handler is
- * called, and a status set by an early handler is sent only when all of the
- * body has come.  The symptom: one caller that sends chunks for ever fills the
- * entry's memory (64 MB were taken in a test).  So nothing beyond the bound is
- * gathered, the refusal is written past libsoup on the connection itself, and
- * the connection is closed: what follows on it can't be a request. */
+/* Failure: libsoup buffers a body of any size before it calls the handler, and
+ * sends a status set by an early handler only after the whole body arrived.
+ * Symptom: one caller that sends chunks endlessly exhausts the process's memory
+ * (64 MB were accepted in a test).  So nothing beyond the limit is buffered,
+ * the refusal is written to the connection directly, bypassing libsoup, and the
+ * connection is closed: what follows on it is the rest of the body, not a
+ * request. */
 #include "body_limit.h"
 
 #include <string.h>
 
 #include "capercrank.h"
 
-/* Until the refused caller has read the answer: closing at once, with its data
- * unread, would reset the connection and lose the answer. */
+/* Time for a refused caller to read the answer.  An immediate close, with its
+ * data unread, would reset the connection and discard the answer. */
 #define LINGER_MS 500
 
 typedef struct
 {
   gsize max;
-  gsize got; /* bytes of body so far */
+  gsize got; /* bytes of the body received */
   gboolean refused;
 } Limit;
 
@@ -26,7 +27,7 @@
   "\"message\":\"the body is too large\"}\n"
 
 static gboolean
-on_lingered (gpointer data)
+on_linger_timeout (gpointer data)
 {
   g_io_stream_close (data, NULL, NULL);
   g_object_unref (data);
@@ -55,13 +56,13 @@
     g_socket_shutdown (
         g_socket_connection_get_socket (G_SOCKET_CONNECTION (stream)), FALSE,
         TRUE, NULL);
-  g_timeout_add (LINGER_MS, on_lingered, stream);
+  g_timeout_add (LINGER_MS, on_linger_timeout, stream);
   return G_SOURCE_REMOVE;
 }
 
-/* In an idle source, since libsoup is in the middle of reading when it tells.
- * Paused until then: it reads on as long as data comes, and a caller that sends
- * fast would keep the main loop from everybody else (53 MB once). */
+/* Refuses M from an idle source, since libsoup is still reading when it emits
+ * the signal.  M is paused until then: libsoup reads as long as data arrives,
+ * so that a fast sender would block the main loop (for 53 MB in one test). */
 static void
 refuse_soon (SoupServerMessage *m)
 {
@@ -91,8 +92,9 @@
   g_free (data);
 }
 
-/* To be called for each message when its headers have come: refuses it if its
- * body is said to have more than MAX bytes, or turns out to. */
+/* Refuses M if its Content-Length exceeds MAX bytes, or as soon as more than
+ * MAX bytes of a chunked body were received.  To be called for each message
+ * when its headers have been read. */
 void
 cc_body_limit (SoupServerMessage *m, gsize max)
 {
@@ -111,10 +113,10 @@
                          0);
 }
 
-/* Whether M's body was too large.  Nothing of it is gathered then, and
- * the connection is taken over from the main loop, but a body that came in one
- * go still gets here: its handler found no body and read a length that nobody
- * had set. M is paused, so that libsoup writes nothing before the refusal. */
+/* Whether M was refused for the size of its body.  A handler must check this
+ * first: if the body arrived all at once, libsoup still calls the handler,
+ * although the body was discarded and its length is not set.  M is paused, so
+ * that libsoup writes nothing before the refusal. */
 gboolean
 cc_body_is_refused (SoupServerMessage *m)
 {
--- a/request_check.c
+++ b/request_check.c
@@ -1,5 +1,6 @@
-/* Checks a caller's headers and collects all faults with their place, so that
- * the caller mends them in one go.  Nothing here answers or keeps anything. */
+/* Validates a request's headers.  All errors are collected, each with the
+ * header's name, so that the caller can correct them at once.  No state is kept
+ * and nothing is sent here. */
 #include "request_check.h"
 
 #include <string.h>
@@ -8,7 +9,7 @@
 #include "headers.h"
 #include "outcome.h"
 
-#define HEADERS_USUAL 512 /* bytes; more makes the buffer grow */
+#define HEADERS_USUAL 512 /* initial size of the buffer, bytes */
 
 typedef struct
 {
@@ -45,8 +46,8 @@
     cc_findings_add (c->findings, CC_HDR_KEY, "has over %d bytes", CC_KEY_MAX);
 }
 
-/* A length that two readers may take for two lengths makes the rest of the
- * connection somebody else's request (RFC 9112, 6.3). */
+/* If two parsers disagree on the length of a body, its rest may be parsed as
+ * another request: request smuggling (RFC 9112, 6.3). */
 static void
 check_length (Check *c)
 {
@@ -88,29 +89,30 @@
   if (key == NULL || !cc_idempotency_time (key, &wall))
     cc_findings_add (c->findings, CC_HDR_IDEMPOTENCY,
                      "a UUID of version 7 is required for this class");
-  /* By this clock; the dispatcher's may be ahead of it and have run the key. */
+  /* The tolerance includes the skew between instances: the dispatcher's clock
+   * may be ahead of this one, and it may have run the key already. */
   else if (wall > cc_clock_wall () + CC_SKEW_MAX + CC_INSTANCE_SKEW_MAX)
     cc_findings_add (c->findings, CC_HDR_IDEMPOTENCY,
                      "its time is in the future, set the caller's clock");
 }
 
-/* The time left in us; 0 or less if the deadline is past. */
+/* The time to the deadline, us; 0 or less if it has passed. */
 static gint64
 check_timeout (Check *c, const CcClass *class)
 {
   const char *text = soup_message_headers_get_one (c->headers, CC_HDR_TIMEOUT);
-  gint64 most = class != NULL ? class->timeout : CC_SECOND;
+  gint64 max = class != NULL ? class->timeout : CC_SECOND;
   gint64 ms;
 
   if (text == NULL)
-    return most;
+    return max;
   if (!g_ascii_string_to_signed (text, 10, G_MININT32, G_MAXINT32, &ms, NULL))
     {
       cc_findings_add (c->findings, CC_HDR_TIMEOUT,
                        "must be a whole number of milliseconds");
-      return most;
+      return max;
     }
-  return MIN (ms * CC_MS, most);
+  return MIN (ms * CC_MS, max);
 }
 
 static GVariant *
@@ -136,8 +138,8 @@
   return cc_headers_take (packed);
 }
 
-/* Checks H against the document D.  Adds every fault to F; with any, R is not
- * to be used but for cc_checked_clear. */
+/* Validates the headers H against the document D and fills in R.  Adds each
+ * error to F; if there is any, R is valid only for cc_checked_clear. */
 void
 cc_request_check (SoupMessageHeaders *h, const CcDocument *d, CcFindings *f,
                   CcCheckedRequest *r)
@@ -153,7 +155,7 @@
   r->headers = copy_headers (&c);
 }
 
-/* Frees what R holds. */
+/* Frees the contents of R. */
 void
 cc_checked_clear (CcCheckedRequest *r)
 {
--- a/request_check.h
+++ b/request_check.h
@@ -1,4 +1,4 @@
-/* What a caller's headers ask for, once they are found to be in order. */
+/* Validates the headers of callers' requests. */
 #ifndef CC_REQUEST_CHECK_H
 #define CC_REQUEST_CHECK_H
 
@@ -9,8 +9,8 @@
 
 typedef struct
 {
-  const CcClass *class; /* of the document it was checked against */
-  gint64 left;          /* us to the deadline; 0 or less: it is past */
+  const CcClass *class; /* belongs to the document */
+  gint64 left;          /* time to the deadline, us; 0 or less: it has passed */
   GVariant *headers;    /* packed, see headers.h */
 } CcCheckedRequest;
 
--- a/request_stats.c
+++ b/request_stats.c
@@ -1,8 +1,7 @@
 /* Counters and histograms of requests, by class of work.
  *
- * The series of a class are made with its first request, and those of a cause
- * with its first request: a configuration of a thousand routes that nobody
- * asks for costs no memory. */
+ * The series of a class or cause are created with its first request, so that a
+ * configuration with a thousand unused routes costs no memory. */
 #include "request_stats.h"
 
 #include "metrics.h"
@@ -11,7 +10,7 @@
                                                       "unknown",
                                                       "caller-gone" };
 
-/* The series of one class. */
+/* The metric series of one class. */
 typedef struct
 {
   char *label;                       /* class="name" */
@@ -21,7 +20,7 @@
   CcHistogram *waited;
   CcHistogram *served;
   CcHistogram *left;
-  CcHistogram *leaving; /* NULL: no request went to an upstream that left */
+  CcHistogram *leaving; /* NULL: no request was sent to a leaving upstream */
 } Class;
 
 struct CcRequestStats
@@ -40,7 +39,7 @@
   g_free (c);
 }
 
-/* Statistics without any request. */
+/* Returns statistics without any request. */
 CcRequestStats *
 cc_request_stats_new (void)
 {
@@ -51,7 +50,7 @@
   return s;
 }
 
-/* Frees S; its series stay in the registry of metrics. */
+/* Frees S; its series remain in the metrics registry. */
 void
 cc_request_stats_free (CcRequestStats *s)
 {
@@ -95,8 +94,8 @@
   return n;
 }
 
-/* Counts R, a request of the class CLASS_NAME.  Times of a request that never
- * reached an upstream are not among those of servers. */
+/* Records R, a request of class CLASS_NAME.  The histogram of server times
+ * includes only requests that reached an upstream. */
 void
 cc_request_stats_count (CcRequestStats *s, const char *class_name,
                         const CcRequestRecord *r)
--- a/test/test_request_stats.c
+++ b/test/test_request_stats.c
@@ -1,4 +1,5 @@
-/* What the metrics say after requests of each end. */
+/* Guards against requests that are counted under the wrong result or cause, and
+ * times recorded for requests that have none. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -13,7 +14,7 @@
 typedef struct
 {
   CcRequestRecord record;
-  const char *line; /* of the metrics, after this record and those before */
+  const char *line; /* expected after this record and those before */
 } Case;
 
 static const Case cases[] = {
@@ -48,11 +49,11 @@
   cc_request_stats_free (s);
 }
 
-/* Times at servers are of requests that reached one, times left of those that
- * said how long they wait, and times after a leave of those that were sent to
- * an upstream that leaves. */
+/* Server times are recorded for requests that reached a server, times left for
+ * those with a timeout, and leaving times for those sent to a leaving upstream.
+ */
 static void
-times_are_of_those_that_have_them (void **state)
+times_are_recorded_where_they_apply (void **state)
 {
   g_autofree char *text = cc_metrics_text ();
 
@@ -83,7 +84,7 @@
   { 4294967295.0, "g{} 4294967295\n" },
 };
 
-/* A version has up to 32 bits; printed with six digits it is another one. */
+/* Guards against a version of up to 32 bits that is rounded to six digits. */
 static void
 a_gauge_keeps_its_digits (void **state)
 {
@@ -104,7 +105,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (each_end_is_counted_with_its_cause),
-    cmocka_unit_test (times_are_of_those_that_have_them),
+    cmocka_unit_test (times_are_recorded_where_they_apply),
     cmocka_unit_test (a_gauge_keeps_its_digits),
   };
 
