--- a/load.c
+++ b/load.c
@@ -1,32 +1,34 @@
-/* Joins the decisions of one server: cost.c estimates, admission.c and queue.c
- * take in and order, limit.c paces, retry.c repeats.  No clock, network or
- * thread: the dispatcher and `make bench` drive the same code.
+/* Combines the modules that decide for one server: cost.c estimates service
+ * times, admission.c and queue.c admit and order requests, limit.c limits
+ * concurrency, retry.c bounds repeated attempts.  There is no clock, network or
+ * thread here; the time is passed in.
  *
- * Load pattern answered here: long jobs among short ones, and a frozen server.
- * Long jobs get half of the slots: with all of them, four long jobs make every
- * short one wait for the time of a long one, past its target.  A server that
- * falls silent keeps its slots occupied; its queue is given back as soon as it
- * is judged stalled, in place of at each request's deadline.
- */
+ * Load patterns: long jobs among short ones, and a server that hangs.  Long
+ * jobs get at most half of the slots: if they had all, four long jobs would
+ * make every short one wait for the duration of a long one, past its target.  A
+ * hung server keeps its slots occupied; its queue is refused as soon as the
+ * server is classified as stalled, rather than at each request's deadline. */
 #include "load.h"
 
-/* A job is long from this many times the server's mean.  Mixes within a class
- * differ by 1.5 times in the servers of today, long jobs by ten. */
+/* A job is long if its cost is this many times the server's mean.  Jobs of one
+ * class typically differ by a factor of 1.5, long jobs from short ones by ten.
+ */
 #define LONG_FACTOR 4
 
-/* Silence that is no accident: well above a garbage collection or a packet
- * sent again (200 ms would be the kernel's least timeout, but then targets of
- * 100 ms are long missed), and this many times the work in the server. */
+/* A server is stalled if it has not answered for STALL_MIN plus STALL_FACTOR
+ * times the expected time of the work in it.  That is well above a garbage
+ * collection pause.  The kernel's minimum retransmission timeout of 200 ms
+ * would be too long: targets of 100 ms are missed by then. */
 #define STALL_MIN (100 * CC_MS)
 #define STALL_FACTOR 4
 
-/* Part of the target that a server's work is guessed to take before any was
- * measured.  A cold server may need so long, and with less it was called
- * stalled at its first answer; a target below four times the work leaves no
- * room to wait anyway. */
-#define COLD_PART 4
+/* Until a server was measured, its work is assumed to take the target time
+ * divided by this.  A cold server may need that long, and with a lower estimate
+ * it was classified as stalled before its first answer.  A target below four
+ * times the work leaves no time for queueing anyway. */
+#define UNMEASURED_DIVISOR 4
 
-/* Makes L that of a new, idle server. */
+/* Initializes L for an idle server. */
 void
 cc_load_init (CcLoad *l)
 {
@@ -37,7 +39,7 @@
   cc_retries_init (&l->retries);
 }
 
-/* Frees what L holds, not the jobs. */
+/* Frees the contents of L, but not the requests in its queue. */
 void
 cc_load_clear (CcLoad *l)
 {
@@ -52,7 +54,7 @@
   return MAX (l->limit.limit / 2, 1);
 }
 
-/* Slots that serve W's lane and its length of job. */
+/* The slots available to W's class and job length. */
 static double
 slots_for (const CcLoad *l, const CcWaiting *w, gint64 now)
 {
@@ -66,19 +68,19 @@
   return (double) MAX (slots, 1) / classes;
 }
 
-/* What W is expected to take; a guess until its server was ever measured. */
+/* The expected service time of W; a default until the server was measured. */
 static CcCost
 estimate (const CcLoad *l, const CcWaiting *w)
 {
   CcCost cost = cc_costs_of (&l->costs, w->kind);
 
   if (cost.mean == 0)
-    cost.mean = w->within / COLD_PART;
+    cost.mean = w->within / UNMEASURED_DIVISOR;
   return cost;
 }
 
 static CcAdmissionAsk
-describe (const CcLoad *l, const CcWaiting *w, gint64 now)
+admission_input (const CcLoad *l, const CcWaiting *w, gint64 now)
 {
   const CcLane *lane = cc_queue_lane (&l->queue, w->class_id);
   CcCost cost = estimate (l, w);
@@ -112,7 +114,7 @@
   return (CcOfferResult){ FALSE, reason, retry_after };
 }
 
-/* Takes W into the queue, or tells why not.  W's cost is set here. */
+/* Queues W, or refuses it with a reason.  Sets W's cost and length. */
 CcOfferResult
 cc_load_offer (CcLoad *l, CcWaiting *w, gint64 now)
 {
@@ -122,7 +124,7 @@
   classify (l, w);
   if (cc_load_stalled (l, now))
     return refusal ("stalled", cc_load_wait_ms (l, now));
-  a = describe (l, w, now);
+  a = admission_input (l, w, now);
   verdict = cc_admission_decide (&a);
   switch (verdict)
     {
@@ -139,7 +141,8 @@
   return (CcOfferResult){ TRUE, "", 0 };
 }
 
-/* Takes out what is to be sent now, and counts it as sent; or NULL. */
+/* Removes the request to be sent next from the queue and counts it as sent.
+ * Returns NULL if none may be sent now. */
 CcWaiting *
 cc_load_next (CcLoad *l, CcMaySend may, gpointer data, gint64 now)
 {
@@ -174,17 +177,17 @@
   return STALL_MIN + STALL_FACTOR * cost;
 }
 
-/* Whether the server has answered nothing since W was sent; if it has, W's
- * connection is to blame. */
+/* Whether the server has not answered any request since W was sent.  If it has,
+ * only W's connection has failed, not the server. */
 static gboolean
-is_silent (const CcLoad *l, const CcWaiting *w)
+has_not_answered_since (const CcLoad *l, const CcWaiting *w)
 {
   return l->answers == w->answers;
 }
 
-/* W's attempt ended at NOW.  One given up here tells of the server only if it
- * took far too long: a caller with a deadline of 5 ms must not lower a good
- * server's limit. */
+/* W's attempt ended at NOW.  A cancelled attempt lowers the server's limit only
+ * if it took longer than the stall limit: a caller with a deadline of 5 ms must
+ * not lower the limit of a healthy server. */
 void
 cc_load_done (CcLoad *l, const CcWaiting *w, CcLoadEnd end, gint64 now)
 {
@@ -209,18 +212,19 @@
     case CC_LOAD_UNSENT:
       break;
     case CC_LOAD_CANCELLED:
-      if (is_silent (l, w) && now - w->sent > stall_limit (w->cost))
+      if (has_not_answered_since (l, w) &&
+          now - w->sent > stall_limit (w->cost))
         cc_limit_lost (&l->limit, now);
       break;
     case CC_LOAD_LOST:
-      if (is_silent (l, w))
+      if (has_not_answered_since (l, w))
         cc_limit_lost (&l->limit, now);
       break;
     }
 }
 
-/* Puts W, whose attempt failed with F, back into the queue if the budget and
- * the deadline allow another.  Returns FALSE if not. */
+/* Puts W, whose attempt failed with F, back into the queue if the retry budget
+ * and the deadline allow another attempt.  Returns FALSE if not. */
 gboolean
 cc_load_retry (CcLoad *l, CcWaiting *w, CcFailure f, gint64 now)
 {
@@ -233,9 +237,9 @@
   return TRUE;
 }
 
-/* Whether W's attempt is to be cancelled and tried again, see hedge.c.  Not
- * the second, whose connection was new; nor work of a kind never measured,
- * which may take long by its nature. */
+/* Whether W's attempt is to be cancelled and repeated, see hedge.c.  A second
+ * attempt is not, since its connection was new; nor work of a kind that was
+ * never measured, which may simply take long. */
 gboolean
 cc_load_hedge (const CcLoad *l, const CcWaiting *w, gint64 now)
 {
@@ -248,24 +252,26 @@
          cc_hedge_decide (&a);
 }
 
-/* This process stood still for SPAN us, and read no answers. */
+/* This process was paused for DURATION us and read no answers, which must not
+ * count as silence of the server. */
 void
-cc_load_process_paused (CcLoad *l, gint64 span)
+cc_load_process_paused (CcLoad *l, gint64 duration)
 {
-  l->progress += span;
+  l->progress += duration;
 }
 
-/* Whether the server has work and has been silent far longer than that
- * takes. */
+/* Whether the server has work and has not answered for much longer than the
+ * work should take. */
 gboolean
 cc_load_stalled (const CcLoad *l, gint64 now)
 {
   return l->running > 0 && now - l->progress > stall_limit (running_cost (l));
 }
 
-/* When to come back if not refused by an offer, ms: the time in which all that
- * waits here will have been served, and the time that the server has been
- * silent if it stalls (twice as long in all, as a backoff does). */
+/* Retry-After for requests that are not refused by cc_load_offer, ms: the time
+ * to serve everything in the server and its queue.  For a stalled server it is
+ * the time since its last progress, which doubles the outage like an
+ * exponential backoff. */
 guint32
 cc_load_wait_ms (const CcLoad *l, gint64 now)
 {
--- a/load.h
+++ b/load.h
@@ -1,4 +1,5 @@
-/* A server's load: what waits for it, what is in it, what may go next. */
+/* The load of one server: its queue, the attempts in progress, and which
+ * request may be sent next. */
 #ifndef CC_LOAD_H
 #define CC_LOAD_H
 
@@ -16,28 +17,29 @@
   CcLimit limit;
   CcRetries retries;
   CcComeback comeback;
-  guint running;          /* attempts in the server */
-  guint running_long;     /* long ones among them */
-  gint64 running_cost[2]; /* expected time of usual and of long ones, us */
-  guint64 answers;        /* of the server, ever */
-  gint64 progress;        /* last answer, or send to the idle server, us */
+  guint running;          /* attempts in progress at the server */
+  guint running_long;     /* of these, long ones */
+  gint64 running_cost[2]; /* expected time of short and of long ones, us */
+  guint64 answers;        /* received from the server in all */
+  gint64 progress;        /* time of the last answer, or of the last send to the
+                             idle server, us */
 } CcLoad;
 
-/* The answer to an offer. */
+/* The result of cc_load_offer. */
 typedef struct
 {
   gboolean admitted;
-  const char *reason;  /* of a refusal, one word */
-  guint32 retry_after; /* of a refusal, ms */
+  const char *reason;  /* if refused, one word */
+  guint32 retry_after; /* if refused, ms */
 } CcOfferResult;
 
 typedef enum
 {
   CC_LOAD_ANSWERED, /* the server ran it */
   CC_LOAD_SHED,     /* the server refused it for its load */
-  CC_LOAD_UNSENT,   /* it never left, or was refused for its grant */
+  CC_LOAD_UNSENT,   /* it was not sent, or was refused for its grant */
   CC_LOAD_LOST,     /* the connection ended without an answer */
-  CC_LOAD_CANCELLED /* given up here: the deadline, or the caller went away */
+  CC_LOAD_CANCELLED /* cancelled here: deadline, or the caller disconnected */
 } CcLoadEnd;
 
 void cc_load_init (CcLoad *l);
--- a/load_reporter.c
+++ b/load_reporter.c
@@ -1,5 +1,5 @@
-/* Reports are datagrams: a lost one makes a count a little low, and a granter
- * that is slow or gone costs the sender nothing. */
+/* Reports are sent as datagrams: a lost one makes a count slightly too low, and
+ * a slow or failed granter never blocks the sender. */
 #include "load_reporter.h"
 
 #include <gio/gio.h>
@@ -8,18 +8,18 @@
 #include "key_load.h"
 #include "settings.h"
 
-/* Counts by pool and key; work, us, and answers by upstream. */
+/* Request counts by pool and key; then upstream, work time (us) and answers. */
 #define REPORT_TYPE "(a{sa(qq)}a(sdu))"
 #define REPORT_MAX 60000 /* bytes; a datagram holds 65507 */
-/* Keys of one pool in a report; the rest waits for the next. */
+/* Keys of one pool in a report; the others are sent in the next period. */
 #define KEYS_MAX 2000
-/* Upstreams in a report; the rest goes into another one. */
+/* Upstreams in a report; more are sent in further reports at once. */
 #define UPSTREAMS_MAX 500
 
-/* What an upstream did since the last report. */
+/* The work of an upstream since the last report. */
 typedef struct
 {
-  double time; /* us */
+  double time; /* work time, us */
   guint answers;
 } Work;
 
@@ -51,7 +51,8 @@
   g_hash_table_insert (counts, name, GUINT_TO_POINTER (count + more));
 }
 
-/* The upstream TARGET worked for TIME us, for ANSWERS answers. */
+/* Adds ANSWERS answers of the upstream TARGET, which took TIME us of work time
+ * in all, to the next report. */
 void
 cc_load_reporter_work (CcLoadReporter *l, const char *target, double time,
                        guint answers)
@@ -68,7 +69,7 @@
 }
 
 static void
-take_counts (CcLoadReporter *l, GVariant *pools)
+apply_counts (CcLoadReporter *l, GVariant *pools)
 {
   GVariantIter i, k;
   const char *pool;
@@ -89,7 +90,7 @@
 }
 
 static void
-take_report (CcLoadReporter *l, GVariant *report)
+apply_report (CcLoadReporter *l, GVariant *report)
 {
   g_autoptr (GVariant) pools = g_variant_get_child_value (report, 0);
   g_autoptr (GVariant) upstreams = g_variant_get_child_value (report, 1);
@@ -98,7 +99,7 @@
   double time;
   guint answers;
 
-  take_counts (l, pools);
+  apply_counts (l, pools);
   g_variant_iter_init (&i, upstreams);
   while (g_variant_iter_next (&i, "(&sdu)", &target, &time, &answers))
     if (l->relays)
@@ -123,7 +124,7 @@
   report = g_variant_ref_sink (
       g_variant_new_from_bytes (G_VARIANT_TYPE (REPORT_TYPE), whole, FALSE));
   if (g_variant_is_normal_form (report))
-    take_report (l, report);
+    apply_report (l, report);
   else
     cc_event (CC_EVENT_STATE, "load-report-damaged", NULL);
   return G_SOURCE_CONTINUE;
@@ -135,8 +136,9 @@
   g_hash_table_unref (data);
 }
 
-/* A link at ADDRESS (IP:PORT) that hands what it receives to COUNT and WORK.
- * NULL with *MESSAGE, to be freed, if it can't be opened. */
+/* Returns a reporter that receives reports at ADDRESS (IP:PORT) and passes them
+ * to COUNT and WORK with DATA.  On failure returns NULL and sets *MESSAGE, to
+ * be freed by the caller. */
 CcLoadReporter *
 cc_load_reporter_new (const char *address, CcLoadCount count, CcWorkReport work,
                       gpointer data, char **message)
@@ -159,8 +161,8 @@
                             G_SOCKET_PROTOCOL_UDP, &error);
   if (l->socket == NULL || !g_socket_bind (l->socket, at, TRUE, &error))
     {
-      *message = g_strdup_printf ("can't take reports at %s: %s", address,
-                                  error->message);
+      *message = g_strdup_printf ("can't receive load reports at %s: %s",
+                                  address, error->message);
       return NULL;
     }
   g_socket_set_blocking (l->socket, FALSE);
@@ -182,22 +184,24 @@
   g_free (l);
 }
 
-/* Whether L adds the reports that it receives to its own, or hands them on. */
+/* Sets whether L is a relay, which adds the reports that it receives to its
+ * own, or passes them to its callbacks. */
 void
 cc_load_reporter_set_relay (CcLoadReporter *l, gboolean relays)
 {
   l->relays = relays;
 }
 
-/* A request for KEY of POOL came. */
+/* Counts a request for KEY of POOL. */
 void
 cc_load_reporter_count (CcLoadReporter *l, const char *pool, guint key)
 {
   add_count (l, pool, key, 1);
 }
 
+/* Packs up to KEYS_MAX of COUNTS and removes them. */
 static GVariant *
-take_keys (GHashTable *counts)
+pack_keys (GHashTable *counts)
 {
   GVariantBuilder b;
   GHashTableIter i;
@@ -217,7 +221,7 @@
 }
 
 static GVariant *
-take_pools (CcLoadReporter *l)
+pack_pools (CcLoadReporter *l)
 {
   GVariantBuilder b;
   GHashTableIter i;
@@ -227,12 +231,13 @@
   g_hash_table_iter_init (&i, l->pools);
   while (g_hash_table_iter_next (&i, &pool, &counts))
     if (g_hash_table_size (counts) > 0)
-      g_variant_builder_add (&b, "{s@a(qq)}", pool, take_keys (counts));
+      g_variant_builder_add (&b, "{s@a(qq)}", pool, pack_keys (counts));
   return g_variant_builder_end (&b);
 }
 
+/* Packs the work of up to UPSTREAMS_MAX upstreams and removes it. */
 static GVariant *
-take_works (CcLoadReporter *l)
+pack_works (CcLoadReporter *l)
 {
   GVariantBuilder b;
   GHashTableIter i;
@@ -251,7 +256,7 @@
   return g_variant_builder_end (&b);
 }
 
-/* Sends what came since the last report to ADDRESS (IP:PORT). */
+/* Sends the counts and work since the last report to ADDRESS (IP:PORT). */
 void
 cc_load_reporter_send (CcLoadReporter *l, const char *address)
 {
@@ -265,9 +270,10 @@
   do
     {
       g_autoptr (GVariant) report = g_variant_ref_sink (g_variant_new (
-          "(@a{sa(qq)}@a(sdu))", take_pools (l), take_works (l)));
+          "(@a{sa(qq)}@a(sdu))", pack_pools (l), pack_works (l)));
 
-      /* A report that can't leave now is worth nothing later. */
+      /* Errors are ignored: a report that can't be sent now is of no use later.
+       */
       (void) g_socket_send_to (l->socket, to, g_variant_get_data (report),
                                g_variant_get_size (report), NULL, NULL);
     }
--- a/load_reporter.h
+++ b/load_reporter.h
@@ -1,5 +1,6 @@
-/* Reports of how busy keys and upstreams are, from every entry to the granter.
- * In a large fleet they go to a relay, which sends the granter their sum. */
+/* Reports the load of keys and upstreams from every gateway (entry) to the
+ * granter.  In a large fleet, gateways report to a relay, which sends the
+ * granter their sum. */
 #ifndef CC_LOAD_REPORTER_H
 #define CC_LOAD_REPORTER_H
 
@@ -7,17 +8,18 @@
 
 typedef struct CcLoadReporter CcLoadReporter;
 
-/* How often a report is sent.  It bounds how soon a region that turns busy is
- * seen; a datagram of some 300 bytes each is 6 kB/s at a dozen entries. */
+/* Period of reports, which bounds the delay until a key range that becomes busy
+ * is detected.  At 300 bytes per datagram, twelve gateways send 6 kB/s. */
 #define CC_LOAD_REPORT_PERIOD (400 * CC_MS)
 
-/* ... by a relay, which bounds how much later the reports of others arrive. */
+/* Period of a relay's reports, which bounds the delay that it adds. */
 #define CC_LOAD_RELAY_PERIOD (200 * CC_MS)
 
-/* COUNT requests came for KEY of POOL. */
+/* COUNT requests were received for KEY of POOL. */
 typedef void (*CcLoadCount) (const char *pool, guint key, guint count,
                              gpointer data);
-/* An entry saw the upstream TARGET work WORK us for ANSWERS answers. */
+/* A gateway received ANSWERS answers from the upstream TARGET, which took WORK
+ * us of work time in all. */
 typedef void (*CcWorkReport) (const char *target, double work, guint answers,
                               gpointer data);
 
--- a/test/test_load.c
+++ b/test/test_load.c
@@ -1,10 +1,6 @@
-/* The load program beside an entry that takes connections and says nothing, as
- * one does that is paused or starved of the processor.
- *
- * Without a bound of its own the run went on for as long as the connections
- * stood; and with a client that looks through all of its requests for each one,
- * some hundreds of them took a whole core, so that what was answered was not
- * read either. */
+/* Guards against a load program that never ends, or uses a whole core and so
+ * reads no answers, when an entry accepts connections and never answers.  Each
+ * request in progress must be bounded in time and inexpensive to track. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -23,10 +19,10 @@
 
 #define PORT 7001
 #define SECONDS "2"
-/* 2 s of arrivals, 10 s until the last is given up, 1.5 s for servers to end,
- * and as much again for a busy machine. */
+/* 2 s of arrivals, 10 s until the last request times out, 1.5 s for servers to
+ * exit, and as much again for a busy machine. */
 #define END_WITHIN (27 * CC_SECOND)
-#define PROCESSOR_MAX_S 1.0 /* for some 800 requests */
+#define PROCESSOR_MAX_S 1.0 /* CPU time for about 800 requests */
 #define BACKLOG 2000
 
 static const char deployment[] =
@@ -43,7 +39,7 @@
 static char *program;
 
 static GSocket *
-listen_in_silence (const char *ip)
+listen_without_answering (const char *ip)
 {
   g_autoptr (GSocketAddress) at =
       g_inet_socket_address_new_from_string (ip, PORT);
@@ -70,7 +66,7 @@
 }
 
 static double
-processor_of_children (void)
+cpu_time_of_children (void)
 {
   struct rusage u;
 
@@ -85,7 +81,7 @@
   g_autofree char *ip = g_strdup_printf ("127.%u.0.9", free_net ());
   g_autofree char *folder = g_dir_make_tmp ("load-XXXXXX", NULL);
   g_autofree char *file = g_build_filename (folder, "deployment.json", NULL);
-  g_autoptr (GSocket) silent = listen_in_silence (ip);
+  g_autoptr (GSocket) silent = listen_without_answering (ip);
   g_autoptr (GSubprocess) load = NULL;
   gint64 began = cc_clock_now (), took;
 
@@ -103,9 +99,9 @@
   g_subprocess_force_exit (load);
   g_subprocess_wait (load, NULL, NULL);
   print_message ("%.1f s, %.2f s of processor\n", (double) took / CC_SECOND,
-                 processor_of_children ());
+                 cpu_time_of_children ());
   assert_true (took < END_WITHIN);
-  assert_true (processor_of_children () < PROCESSOR_MAX_S);
+  assert_true (cpu_time_of_children () < PROCESSOR_MAX_S);
 }
 
 int
--- a/test/test_load_reporter.c
+++ b/test/test_load_reporter.c
@@ -1,4 +1,5 @@
-/* Reports of load between processes, over datagrams. */
+/* Guards against load reports that are lost or counted twice on their way to
+ * the granter. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -14,20 +15,20 @@
 #define POOLS 2
 #define KEYS 5
 
-/* What was handed to the granter. */
+/* The reports passed to the granter. */
 typedef struct
 {
   guint counts[POOLS][KEYS];
   GHashTable *times;   /* upstream to us */
   GHashTable *answers; /* upstream to answers */
-} Taken;
+} Received;
 
 typedef struct
 {
   const char *name;
-  guint entries;   /* that report */
-  guint rounds;    /* reports of each */
-  guint upstreams; /* in each */
+  guint entries;   /* number of reporting gateways */
+  guint rounds;    /* reports from each */
+  guint upstreams; /* in each report */
 } Case;
 
 static const Case cases[] = {
@@ -39,27 +40,27 @@
 };
 
 static const char *const pools[POOLS] = { "p", "q" };
-static Taken taken;
-static guint net; /* of this program */
+static Received received;
+static guint net; /* second byte of this program's addresses */
 
 static void
 on_count (const char *pool, guint key, guint count, gpointer data)
 {
   (void) data;
-  taken.counts[pool[0] - 'p'][key] += count;
+  received.counts[pool[0] - 'p'][key] += count;
 }
 
 static void
 on_work (const char *target, double time, guint answers, gpointer data)
 {
-  gpointer sum = g_hash_table_lookup (taken.answers, target);
-  gpointer times = g_hash_table_lookup (taken.times, target);
+  gpointer sum = g_hash_table_lookup (received.answers, target);
+  gpointer times = g_hash_table_lookup (received.times, target);
 
   (void) data;
-  g_hash_table_insert (taken.answers, g_strdup (target),
+  g_hash_table_insert (received.answers, g_strdup (target),
                        GUINT_TO_POINTER (GPOINTER_TO_UINT (sum) + answers));
   g_hash_table_insert (
-      taken.times, g_strdup (target),
+      received.times, g_strdup (target),
       GUINT_TO_POINTER (GPOINTER_TO_UINT (times) + (guint) time));
 }
 
@@ -83,7 +84,7 @@
 }
 
 static void
-take_all (void)
+receive_all (void)
 {
   while (g_main_context_iteration (NULL, FALSE))
     continue;
@@ -105,11 +106,11 @@
       cc_load_reporter_work (l, target, 10 * (entry + 1), entry + 1);
     }
   cc_load_reporter_send (l, address);
-  take_all ();
+  receive_all ();
 }
 
 static void
-check_taken (const Case *c)
+check_received (const Case *c)
 {
   guint each = 0;
 
@@ -122,18 +123,20 @@
 
         for (guint e = 0; e < c->entries; e++)
           expected += (e + p + k) * c->rounds;
-        if (taken.counts[p][k] != expected)
+        if (received.counts[p][k] != expected)
           fail_msg ("%s: %u requests of key %u, not %u", c->name,
-                    taken.counts[p][k], k, expected);
+                    received.counts[p][k], k, expected);
       }
-  if (g_hash_table_size (taken.answers) != c->upstreams)
-    fail_msg ("%s: %u upstreams", c->name, g_hash_table_size (taken.answers));
+  if (g_hash_table_size (received.answers) != c->upstreams)
+    fail_msg ("%s: %u upstreams", c->name,
+              g_hash_table_size (received.answers));
   for (guint i = 0; i < c->upstreams; i++)
     {
       g_autofree char *target = g_strdup_printf ("i-%010u", i);
       guint answers =
-          GPOINTER_TO_UINT (g_hash_table_lookup (taken.answers, target));
-      guint time = GPOINTER_TO_UINT (g_hash_table_lookup (taken.times, target));
+          GPOINTER_TO_UINT (g_hash_table_lookup (received.answers, target));
+      guint time =
+          GPOINTER_TO_UINT (g_hash_table_lookup (received.times, target));
 
       if (answers != each * c->rounds || time != 10 * each * c->rounds)
         fail_msg ("%s: %u answers in %u us", c->name, answers, time);
@@ -143,19 +146,21 @@
 static void
 begin (void)
 {
-  memset (&taken, 0, sizeof taken);
-  taken.answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  taken.times = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  memset (&received, 0, sizeof received);
+  received.answers =
+      g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  received.times =
+      g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
 static void
 end (void)
 {
-  g_hash_table_unref (taken.answers);
-  g_hash_table_unref (taken.times);
+  g_hash_table_unref (received.answers);
+  g_hash_table_unref (received.times);
 }
 
-/* The entries of C report to the granter itself, or to a relay. */
+/* The gateways of C report to the granter directly, or to a relay. */
 static void
 play (const Case *c, gboolean relayed)
 {
@@ -169,12 +174,12 @@
   for (guint r = 0; r < c->rounds; r++)
     for (guint e = 0; e < MIN (c->entries, ENTRIES); e++)
       report (entries[e], e, c->upstreams, relayed);
-  /* The second one has nothing to tell. */
+  /* The second report is empty and must change nothing. */
   for (guint i = 0; i < 2; i++)
     {
       cc_load_reporter_send (relay, address);
-      take_all ();
-      check_taken (c);
+      receive_all ();
+      check_received (c);
     }
   for (guint e = 0; e < ENTRIES; e++)
     cc_load_reporter_free (entries[e]);
@@ -193,8 +198,8 @@
     }
 }
 
-/* Guards against counts that are lost, or told twice, where entries report to
- * the granter itself. */
+/* Guards against counts that are lost or reported twice when gateways report to
+ * the granter directly. */
 static void
 the_granter_gets_each_report (void **state)
 {
@@ -202,7 +207,7 @@
   play_all (FALSE);
 }
 
-/* Guards against the same where a relay sums the reports. */
+/* Guards against the same when a relay sums the reports. */
 static void
 the_granter_gets_the_sum_of_a_relay (void **state)
 {
