--- a/callers.c
+++ b/callers.c
@@ -20,7 +20,7 @@
 #define STARTING_RETRY (300 * CC_MS)
 
 /* Retry-After of a stopping process: the retry reaches another instance, so it
- * need not wait. */
+ * may be sent almost at once. */
 #define STOPPING_RETRY (20 * CC_MS)
 
 /* RFC 6585; libsoup has no constant for it. */
--- a/gateway.c
+++ b/gateway.c
@@ -87,7 +87,7 @@
 /* ---- configuration ---- */
 
 static void
-bound_connections (Gateway *g)
+limit_connections (Gateway *g)
 {
   const CcRoutes *routes = cc_callers_routes (g->callers);
   GHashTableIter i;
@@ -161,7 +161,7 @@
   g->routes_applied_at = cc_clock_now ();
   cc_callers_configure (g->callers, routes);
   cc_granter_configure (g->granter, routes);
-  bound_connections (g);
+  limit_connections (g);
   log_configuration (g, row, routes, g->routes_applied_at - begun);
 }
 
@@ -257,7 +257,7 @@
     cc_granter_named (g->granter);
   cc_forwarder_set_entries (g->forwarder, count);
   cc_load_reporter_set_relay (g->reporter, cc_members_is_relay (g->members));
-  bound_connections (g);
+  limit_connections (g);
   cc_mirror_role (g->mirror, &role);
 }
 
@@ -551,7 +551,7 @@
 }
 
 static gboolean
-build (Gateway *g, char **message)
+create_modules (Gateway *g, char **message)
 {
   double cores = cores_of (g);
   CcForwarderSetup forwarder_setup = {
@@ -633,7 +633,7 @@
 
   cc_event_setup ("capercrank-gateway", g->instance, STDOUT_FILENO);
   if (!read_boolean (g, "first-start", &g->first_start, &message) ||
-      !build (g, &message) || !listen_all (g, &message))
+      !create_modules (g, &message) || !listen_all (g, &message))
     {
       fprintf (stderr, "capercrank-gateway: %s\n", message);
       return 1;
--- a/load.c
+++ b/load.c
@@ -24,8 +24,8 @@
 
 /* Until a server was measured, its work is assumed to take the target time
  * divided by this.  A cold server may need that long, and with a lower estimate
- * it was classified as stalled before its first answer.  A target below four
- * times the work leaves no time for queueing anyway. */
+ * it would be classified as stalled before its first answer.  A target below
+ * four times the work leaves no time for queueing anyway. */
 #define UNMEASURED_DIVISOR 4
 
 /* Initializes L for an idle server. */
--- a/test/test_causes.c
+++ b/test/test_causes.c
@@ -424,7 +424,7 @@
 /* ---- tests ---- */
 
 static int
-begin_all (void **state)
+set_up (void **state)
 {
   g_autofree char *table = NULL;
 
@@ -451,7 +451,7 @@
 }
 
 static int
-end_all (void **state)
+tear_down (void **state)
 {
   (void) state;
   if (w.gateway != NULL)
@@ -578,5 +578,5 @@
 
   (void) argc;
   g_set_prgname (argv[0]);
-  return cmocka_run_group_tests (tests, begin_all, end_all);
+  return cmocka_run_group_tests (tests, set_up, tear_down);
 }
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -266,7 +266,7 @@
 #define SIGNED "X-Response-Signature=s"
 
 static void
-play (AttemptEnd script)
+end_attempt (AttemptEnd script)
 {
   g_autofree Call *c = g_queue_pop_head (net.calls);
   g_autoptr (GVariant) headers = NULL;
@@ -429,7 +429,7 @@
       Outcome o = { 0 };
 
       begin (w, &o);
-      play (OK_200);
+      end_attempt (OK_200);
       assert_true (o.ended);
     }
   g_ptr_array_set_size (net.addresses, 0);
@@ -468,7 +468,7 @@
       earn_budget (&w);
       begin (&w, &o);
       for (guint k = 0; k < ATTEMPTS_MAX && !o.ended; k++)
-        play (c->script[k]);
+        end_attempt (c->script[k]);
       if (!o.ended || o.kind != c->end || o.status != c->status ||
           strcmp (o.reason, c->reason) != 0 || net.addresses->len != c->sent ||
           !all_differ (net.addresses))
@@ -496,12 +496,12 @@
 
       begin (&w, &o);
       while (!o.ended && !g_queue_is_empty (net.calls))
-        play (SHED_503);
+        end_attempt (SHED_503);
       cc_clock_advance (20 * CC_MS);
       if (!o.ended)
         cc_forwarder_pump (w.forwarder);
       while (!o.ended && !g_queue_is_empty (net.calls))
-        play (SHED_503);
+        end_attempt (SHED_503);
       assert_true (o.ended);
       assert_int_equal (o.kind, CC_EXCHANGE_NOT_RUN);
       assert_true (o.retry_after > 0);
@@ -526,7 +526,7 @@
       cc_exchange_cancel (begin (&w, &o));
       assert_int_equal (net.cancelled, idempotent);
       if (!idempotent)
-        play (OK_200);
+        end_attempt (OK_200);
       assert_false (o.ended);
       assert_int_equal (cc_forwarder_pending (w.forwarder), 0);
       world_clear (&w);
@@ -579,7 +579,7 @@
                          ignore_change, NULL);
       cc_clock_advance ((table[i].sent_ms - table[i].received_ms) * CC_MS);
       begin (&w, &o);
-      play (OK_200);
+      end_attempt (OK_200);
       assert_true (o.ended);
       assert_int_equal (o.leaving, table[i].leaving_ms < 0
                                        ? -1
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -150,7 +150,7 @@
 /* Without configuration and upstreams the program is not ready, answers callers
  * "not run", and keeps running. */
 static void
-without_a_table_callers_are_told_not_run (void **state)
+without_a_table_requests_are_not_run (void **state)
 {
   Gateway g = start ();
 
@@ -236,7 +236,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (a_bad_setting_is_named),
-    cmocka_unit_test (without_a_table_callers_are_told_not_run),
+    cmocka_unit_test (without_a_table_requests_are_not_run),
     cmocka_unit_test (too_many_bytes_of_headers_are_refused),
     cmocka_unit_test (a_log_that_nobody_reads_blocks_nothing),
     cmocka_unit_test (a_stop_ends_in_its_time),
--- a/test/test_http_link.c
+++ b/test/test_http_link.c
@@ -336,7 +336,7 @@
  * are buffered during a network outage and delivered afterwards.  A reset
  * discards them. */
 static void
-a_call_that_is_given_up_resets_its_connection (void **state)
+a_failed_or_cancelled_call_resets_its_connection (void **state)
 {
   static const Case silent = { "silent", "", THEN_KEEP, CC_HTTP_TIMED_OUT,
                                0,        "", FALSE };
@@ -504,7 +504,7 @@
       request.connected_by = first.connected_at + requests[i].after;
       if ((cc_http_send (h, &request, on_done, &second) != NULL) !=
           requests[i].sent)
-        fail_msg ("order %u", i);
+        fail_msg ("case %u", i);
       while (requests[i].sent && !second.ended)
         g_main_context_iteration (NULL, TRUE);
       assert_int_equal (server.accepted, accepted);
@@ -573,7 +573,7 @@
     cmocka_unit_test (results_match_what_the_server_did),
     cmocka_unit_test (no_call_reuses_a_connection_to_be_closed),
     cmocka_unit_test (a_refused_connection_is_unsent),
-    cmocka_unit_test (a_call_that_is_given_up_resets_its_connection),
+    cmocka_unit_test (a_failed_or_cancelled_call_resets_its_connection),
     cmocka_unit_test (a_slow_answer_is_awaited_while_it_arrives),
     cmocka_unit_test (an_answer_that_arrived_is_read_after_a_stall),
     cmocka_unit_test (a_call_may_require_an_existing_connection),
--- a/test/test_load_reporter.c
+++ b/test/test_load_reporter.c
@@ -162,7 +162,7 @@
 
 /* The gateways of C report to the granter directly, or to a relay. */
 static void
-play (const Case *c, gboolean relayed)
+run_case (const Case *c, gboolean relayed)
 {
   CcLoadReporter *granter = new_reporter (0), *relay = new_reporter (1);
   CcLoadReporter *entries[ENTRIES];
@@ -188,12 +188,12 @@
 }
 
 static void
-play_all (gboolean relayed)
+run_all_cases (gboolean relayed)
 {
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       begin ();
-      play (&cases[i], relayed);
+      run_case (&cases[i], relayed);
       end ();
     }
 }
@@ -204,7 +204,7 @@
 the_granter_gets_each_report (void **state)
 {
   (void) state;
-  play_all (FALSE);
+  run_all_cases (FALSE);
 }
 
 /* Guards against the same when a relay sums the reports. */
@@ -212,7 +212,7 @@
 the_granter_gets_the_sum_of_a_relay (void **state)
 {
   (void) state;
-  play_all (TRUE);
+  run_all_cases (TRUE);
 }
 
 int
--- a/test/test_routes.c
+++ b/test/test_routes.c
@@ -110,8 +110,8 @@
 /* Simulates the requests of gateway E, which has BUDGET, in the tenth of a
  * second before NOW; each failure is repeated as often as the budget allows. */
 static void
-play_entry (CcRetryBudget *budget, guint e, GRand *rand, gint64 now,
-            guint *requests, guint *repeats)
+simulate_entry (CcRetryBudget *budget, guint e, GRand *rand, gint64 now,
+                guint *requests, guint *repeats)
 {
   guint n = (guint) g_rand_int_range (rand, 0, (gint32) e + 2);
 
@@ -139,8 +139,8 @@
 
       for (guint t = 0; t < SECONDS * 10; t++)
         for (guint e = 0; e < ENTRIES; e++)
-          play_entry (&budgets[e], e, rand, (t + 1) * CC_SECOND / 10,
-                      &requests[t], &repeats[t]);
+          simulate_entry (&budgets[e], e, rand, (t + 1) * CC_SECOND / 10,
+                          &requests[t], &repeats[t]);
       for (guint from = 0; from + 100 <= SECONDS * 10; from++)
         {
           guint total = 0, again = 0;
