--- a/body_limit.c
+++ b/body_limit.c
@@ -34,6 +34,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Writes the refusal to the connection of DATA, a SoupServerMessage, and
+ * closes it after LINGER_MS. */
 static gboolean
 refuse (gpointer data)
 {
@@ -73,6 +75,7 @@
   g_idle_add_full (G_PRIORITY_HIGH, refuse, g_object_ref (m), NULL);
 }
 
+/* Counts the bytes of a chunked body and refuses it above the limit. */
 static void
 on_chunk (SoupServerMessage *m, GBytes *chunk, gpointer data)
 {
--- a/callers.c
+++ b/callers.c
@@ -63,6 +63,8 @@
   return c;
 }
 
+/* Closes the connection after this answer while the process drains or is cut
+ * off. */
 static void
 prepare_answer (CcCallers *c, SoupServerMessage *m)
 {
@@ -113,6 +115,7 @@
   return FALSE;
 }
 
+/* Answers M with a server's answer. */
 static void
 forward_answer (CcCallers *c, SoupServerMessage *m, const CcExchangeResult *e)
 {
@@ -180,6 +183,7 @@
   cc_request_stats_count (r->callers->stats, r->route, &record);
 }
 
+/* The exchange of R has ended: counts, logs and answers it. */
 static void
 on_result (const CcExchangeResult *e, gpointer data)
 {
@@ -212,6 +216,7 @@
   soup_server_message_unpause (r->message);
 }
 
+/* The message of R is finished or was aborted: frees R. */
 static void
 on_finished (SoupServerMessage *m, gpointer data)
 {
@@ -269,6 +274,7 @@
   return g_string_free (s, FALSE);
 }
 
+/* Starts to forward M to POOL and takes over the contents of INFO. */
 static void
 start_request (CcCallers *c, SoupServerMessage *m, CcRoute *route,
                const char *pool, CcCallerInfo *info)
--- a/forward.c
+++ b/forward.c
@@ -49,6 +49,7 @@
   return f;
 }
 
+/* Returns the pool NAME, which is created if needed. */
 static CcForwardPool *
 find_pool (CcForwarder *f, const char *name)
 {
@@ -163,6 +164,7 @@
   SEND_REFUSED /* refused; the exchange is freed */
 } SendResult;
 
+/* The input for the choice of an upstream for E. */
 static CcChoice
 choice_for (const CcExchange *e)
 {
@@ -176,6 +178,8 @@
                      .typical = e->typical };
 }
 
+/* Sends E to the owner of its key, lets it wait, or refuses it with a reason.
+ */
 static SendResult
 try_send_to_owner (CcExchange *e, gint64 now)
 {
@@ -211,6 +215,8 @@
   return SEND_REFUSED;
 }
 
+/* Sends E to an upstream of its pool, lets it wait, or refuses it with a
+ * reason. */
 static SendResult
 try_send (CcExchange *e, gint64 now)
 {
@@ -240,6 +246,10 @@
   return SEND_REFUSED;
 }
 
+/* Sends the requests in P's backlog, in their order, as far as there is
+ * capacity.  A request without a key that has to wait for capacity stops the
+ * scan, since those after it wait for the same upstreams.  One that waits for
+ * its key's owner, or for its next attempt to be due, does not. */
 static void
 pump_pool (CcForwardPool *p, gint64 now)
 {
@@ -339,6 +349,8 @@
   cc_forwarder_pump (f);
 }
 
+/* Returns a new exchange for S, which is not in the backlog yet.  Its timeout
+ * is that of the route, or the rest of the caller's if that is shorter. */
 static CcExchange *
 exchange_new (CcForwarder *f, const CcExchangeRequest *s, CcExchangeDone done,
               gpointer data)
--- a/gateway.c
+++ b/gateway.c
@@ -86,6 +86,8 @@
 
 /* ---- configuration ---- */
 
+/* Applies the configured limits on connections to the pools of the forwarder.
+ */
 static void
 limit_connections (Gateway *g)
 {
@@ -132,6 +134,9 @@
         age);
 }
 
+/* Parses and applies the configuration row if it is newer than the last one
+ * read.  A row that is invalid, or whose version is lower than the current
+ * one, is logged and ignored. */
 static void
 apply_configuration (Gateway *g)
 {
@@ -180,6 +185,8 @@
         age);
 }
 
+/* Logs the new state of T and closes idle connections to it unless it is
+ * ready. */
 static void
 on_target_changed (const CcTarget *t, gpointer data)
 {
@@ -199,6 +206,8 @@
   cc_http_close_idle (g->http, t->listing.address);
 }
 
+/* Applies changed rows of upstreams, and checks again after TARGETS_RECHECK
+ * while any is missing. */
 static void
 update_targets (gpointer data)
 {
@@ -231,6 +240,7 @@
   cc_members_peer_ended (((Gateway *) data)->members, address, answered);
 }
 
+/* Whether any of ROWS describes a member of the fleet. */
 static gboolean
 include_member_rows (const GPtrArray *rows)
 {
@@ -240,6 +250,8 @@
   return FALSE;
 }
 
+/* Applies changed member rows to all modules that depend on the size of the
+ * fleet or on this process's place in it. */
 static void
 update_members (Gateway *g)
 {
@@ -305,6 +317,7 @@
     }
 }
 
+/* Sends the load report to the granter or a relay, if one is known. */
 static void
 on_report_timer (gpointer data)
 {
@@ -337,6 +350,8 @@
   cc_granter_lease_received (g->granter, version, seen_at);
 }
 
+/* Rows of the table NAME have changed: passes them to the modules that use
+ * it. */
 static void
 on_rows (CcTableName name, gpointer data)
 {
@@ -386,6 +401,7 @@
   cc_callers_set_closing (g->callers, cut_off);
 }
 
+/* Why this process is not ready, or NULL if it is. */
 static const char *
 not_ready_reason (gpointer data)
 {
@@ -415,6 +431,8 @@
       "text/plain", why == NULL ? "ready\n" : why);
 }
 
+/* Opens all ports, the one for callers last.  On failure returns FALSE and
+ * sets *MESSAGE, to be freed by the caller. */
 static gboolean
 listen_all (Gateway *g, char **message)
 {
@@ -487,6 +505,8 @@
   exit (0);
 }
 
+/* Exits when no new requests are expected, all are answered and the lease was
+ * released, or when the stop grace period is over. */
 static void
 on_drain_poll (gpointer data)
 {
@@ -500,6 +520,7 @@
   cc_timer_start (&g->drain, DRAIN_POLL, on_drain_poll, g);
 }
 
+/* Starts to drain on SIGTERM; further signals are ignored. */
 static gboolean
 on_stop (gpointer data)
 {
@@ -550,6 +571,8 @@
   return FALSE;
 }
 
+/* Creates all modules from the settings.  On failure returns FALSE and sets
+ * *MESSAGE, to be freed by the caller. */
 static gboolean
 create_modules (Gateway *g, char **message)
 {
@@ -617,6 +640,7 @@
   return TRUE;
 }
 
+/* The delay of the first table read after the start, us. */
 static gint64
 start_pause (const Gateway *g)
 {
--- a/http_link.c
+++ b/http_link.c
@@ -69,6 +69,9 @@
   cc_http_connection_keep (c);
 }
 
+/* Ends CALL with the outcome END.  Unless it was answered, its connection is
+ * reset; if that was a reused one, the idle connections to the peer are closed
+ * as well, except after a call that required an existing connection. */
 static void
 finish (CcHttpCall *call, CcHttpOutcome end, const char *why)
 {
@@ -104,6 +107,7 @@
   call_free (call);
 }
 
+/* Ends CALL after a failure of its connection. */
 static void
 fail (CcHttpCall *call, const char *why)
 {
@@ -137,6 +141,7 @@
          g_socket_condition_check (call->connection->socket, G_IO_IN) != 0;
 }
 
+/* Ends CALL after a timeout. */
 static void
 end_timed_out (CcHttpCall *call)
 {
@@ -180,6 +185,8 @@
              : g_ascii_strtoll (at + strlen ("timeout="), NULL, 10) * CC_SECOND;
 }
 
+/* Adds the header that was just parsed to the answer.  One that echoes
+ * another request marks the answer to be skipped. */
 static void
 end_header (CcHttpCall *call)
 {
@@ -196,6 +203,8 @@
   g_string_truncate (call->value, 0);
 }
 
+/* An answer begins.  A second one after the complete answer only closes the
+ * connection. */
 static int
 on_begin (http_parser *p)
 {
@@ -256,6 +265,9 @@
   return 0;
 }
 
+/* An answer is complete.  Interim (1xx) answers are ignored.  After an
+ * answer to another request the parser goes on with the next one, and the
+ * connection is closed after the call. */
 static int
 on_complete (http_parser *p)
 {
@@ -327,6 +339,8 @@
   fail (call, "closed");
 }
 
+/* Reads until the socket has no more data.  Data or a close without a call
+ * closes the connection. */
 static void
 read_available (CcHttpConnection *c)
 {
@@ -402,6 +416,8 @@
   return TRUE;
 }
 
+/* The connection of C is established: starts the timer of the answer and
+ * sends the request. */
 static gboolean
 begin_request (CcHttpConnection *c)
 {
--- a/load.c
+++ b/load.c
@@ -48,6 +48,7 @@
   cc_retries_clear (&l->retries);
 }
 
+/* The slots that long jobs may use. */
 static guint
 long_slots (const CcLoad *l)
 {
@@ -79,6 +80,7 @@
   return cost;
 }
 
+/* The input for the admission decision on W. */
 static CcAdmissionAsk
 admission_input (const CcLoad *l, const CcWaiting *w, gint64 now)
 {
@@ -99,6 +101,7 @@
   return a;
 }
 
+/* Sets the cost and the length of W. */
 static void
 classify (const CcLoad *l, CcWaiting *w)
 {
@@ -165,12 +168,15 @@
   return w;
 }
 
+/* The expected time of all work in the server, us. */
 static gint64
 running_cost (const CcLoad *l)
 {
   return l->running_cost[0] + l->running_cost[1];
 }
 
+/* The time without an answer after which work of COST us counts as stalled,
+ * us. */
 static gint64
 stall_limit (gint64 cost)
 {
--- a/load_reporter.c
+++ b/load_reporter.c
@@ -35,6 +35,7 @@
   gpointer data;
 };
 
+/* Adds MORE requests for KEY of POOL to the next report. */
 static void
 add_count (CcLoadReporter *l, const char *pool, guint key, guint more)
 {
@@ -68,6 +69,8 @@
   w->answers += answers;
 }
 
+/* Adds received counts to the own report of a relay, or passes them to the
+ * callback. */
 static void
 apply_counts (CcLoadReporter *l, GVariant *pools)
 {
@@ -89,6 +92,8 @@
     }
 }
 
+/* Adds a received report to the own report of a relay, or passes it to the
+ * callbacks. */
 static void
 apply_report (CcLoadReporter *l, GVariant *report)
 {
--- a/request_check.c
+++ b/request_check.c
@@ -17,6 +17,8 @@
   CcFindings *findings;
 } Check;
 
+/* Checks a name in HEADER: UTF-8, of limited length, without quotes and
+ * backslashes. */
 static void
 check_name (Check *c, const char *header, gboolean required)
 {
@@ -64,6 +66,7 @@
                      "must be one whole number, without Transfer-Encoding");
 }
 
+/* The class that the headers name, or NULL. */
 static const CcClass *
 check_class (Check *c, const CcDocument *d)
 {
@@ -77,6 +80,8 @@
   return class;
 }
 
+/* Checks that a once-only request has an idempotency key that is a UUID of
+ * version 7 and not from the future. */
 static void
 check_idempotency (Check *c, const CcClass *class)
 {
@@ -115,6 +120,7 @@
   return MIN (ms * CC_MS, max);
 }
 
+/* Returns all headers packed, and checks their encoding and total size. */
 static GVariant *
 copy_headers (Check *c)
 {
--- a/request_stats.c
+++ b/request_stats.c
@@ -58,6 +58,7 @@
   g_free (s);
 }
 
+/* Returns the series of the class NAME, which are created if needed. */
 static Class *
 find_class (CcRequestStats *s, const char *name)
 {
@@ -79,6 +80,7 @@
   return c;
 }
 
+/* Returns the counter of END and CAUSE, which is created if needed. */
 static CcCounter *
 find_cause (Class *c, CcCountedEnd end, const char *cause)
 {
--- a/routes.c
+++ b/routes.c
@@ -99,6 +99,7 @@
   g_free (h);
 }
 
+/* Adds LENGTH to the prefix lengths of H, once. */
 static void
 add_length (HostRoutes *h, gsize length)
 {
