--- a/holding.c
+++ b/holding.c
@@ -38,7 +38,7 @@
   h->answered = now - (CC_SERVER_LOST_AFTER - CC_SERVER_SUSPECT);
   h->grant_sent = now; /* a predecessor may have sent one up to now */
   h->quiet_at = quiet_at;
-  h->doubt = quiet_at > 0;
+  h->unconfirmed = quiet_at > 0;
   h->alive_since = now;
   h->serial = 1;
   return h;
@@ -195,7 +195,7 @@
     {
       h->quiet_at = MAX (h->quiet_at, deadline + CC_SKEW_MAX);
       h->quiet_since = 0;
-      h->doubt = TRUE;
+      h->unconfirmed = TRUE;
     }
   if (--s->running == 0 && !s->owned)
     leave_slice (h, slice);
@@ -239,7 +239,7 @@
   if (now >= h->answered + CC_SERVER_SUSPECT)
     h->alive_since = now;
   h->answered = MAX (h->answered, now);
-  h->unseen = 0;
+  h->stalled_for = 0;
 }
 
 /* This process stood still for SPAN us.
@@ -249,16 +249,16 @@
  * although the answers lie in its sockets.  Only the judgement waits: grants
  * lapse by the clock, and a server counts as lively by its answers alone. */
 void
-cc_holding_stood_still (CcHolding *h, gint64 span)
+cc_holding_add_stall (CcHolding *h, gint64 span)
 {
-  h->unseen += span;
+  h->stalled_for += span;
 }
 
 /* Judges at NOW whether the server is lost.  Returns TRUE if that changed. */
 gboolean
-cc_holding_judge (CcHolding *h, gint64 now)
+cc_holding_update_lost (CcHolding *h, gint64 now)
 {
-  gboolean lost = now >= h->answered + h->unseen + CC_SERVER_LOST_AFTER;
+  gboolean lost = now >= h->answered + h->stalled_for + CC_SERVER_LOST_AFTER;
 
   if (lost == h->lost)
     return FALSE;
@@ -283,7 +283,7 @@
 gboolean
 cc_holding_is_lost (const CcHolding *h)
 {
-  return h->lost && (h->checks_grants || !h->doubt);
+  return h->lost && (h->checks_grants || !h->unconfirmed);
 }
 
 /* Ends the doubt about unanswered attempts.  An answer from before their
@@ -294,7 +294,7 @@
 {
   gboolean lively;
 
-  if (!h->doubt || wall < h->quiet_at)
+  if (!h->unconfirmed || wall < h->quiet_at)
     return;
   if (h->quiet_since == 0)
     h->quiet_since = now;
@@ -302,7 +302,7 @@
            now < h->answered + CC_SERVER_SUSPECT &&
            now >= h->alive_since + CC_SERVER_SETTLE;
   if (lively || h->gone)
-    h->doubt = FALSE;
+    h->unconfirmed = FALSE;
 }
 
 /* The newest map version of which everything that it took from this server
@@ -321,6 +321,6 @@
     fenced = h->acked_serial == h->serial ||
              now >= h->grant_sent + CC_GRANT_TTL + CC_GRANT_MARGIN;
   else
-    fenced = !h->doubt;
+    fenced = !h->unconfirmed;
   return fenced ? h->map_version : 0;
 }
--- a/holding.h
+++ b/holding.h
@@ -49,14 +49,14 @@
   gint64 granted_until; /* it honours the grant at least until then, us */
   gint64 grant_sent;    /* last time a grant was sent, us; 0: never */
   gint64 answered;      /* last answer to a grant or a probe, us */
-  gint64 unseen;      /* since then this process stood still for so long, us */
-  gboolean doubt;     /* an unanswered attempt may be inside the server */
-  gint64 quiet_at;    /* wall clock: the deadlines of those are past */
-  gint64 quiet_since; /* that was first seen then, us; 0: it was not yet */
-  gint64 alive_since; /* it has answered without a silence since then, us */
-  gboolean gone;      /* the platform doesn't list it any more */
-  guint running;      /* attempts at the server, all slices */
-  gboolean lost;      /* judged silent */
+  gint64 stalled_for; /* since then this process stood still for so long, us */
+  gboolean unconfirmed; /* an unanswered attempt may be inside the server */
+  gint64 quiet_at;      /* wall clock: the deadlines of those are past */
+  gint64 quiet_since;   /* that was first seen then, us; 0: it was not yet */
+  gint64 alive_since;   /* it has answered without a silence since then, us */
+  gboolean gone;        /* the platform doesn't list it any more */
+  guint running;        /* attempts at the server, all slices */
+  gboolean lost;        /* judged silent */
 } CcHolding;
 
 CcHolding *cc_holding_new (const char *pool, const CcMapServer *s,
@@ -74,8 +74,8 @@
 void cc_holding_grant_sent (CcHolding *h, gint64 now);
 void cc_holding_grant_acked (CcHolding *h, guint64 serial, gint64 sent);
 void cc_holding_answered (CcHolding *h, gint64 now);
-void cc_holding_stood_still (CcHolding *h, gint64 span);
-gboolean cc_holding_judge (CcHolding *h, gint64 now);
+void cc_holding_add_stall (CcHolding *h, gint64 span);
+gboolean cc_holding_update_lost (CcHolding *h, gint64 now);
 gboolean cc_holding_is_lost (const CcHolding *h);
 guint64 cc_holding_applied (CcHolding *h, gint64 now, gint64 wall);
 
--- a/intake.c
+++ b/intake.c
@@ -33,7 +33,7 @@
 }
 
 static void
-answer_again (CcDispatcher *d, const CcMessage *m, const CcRemembered *kept)
+answer_again (CcDispatcher *d, const CcMessage *m, const CcOutcomeRecord *kept)
 {
   CcMsgReply r = { .outcome = kept->outcome,
                    .reason = "repeat",
@@ -96,10 +96,11 @@
 take_once_only (CcDispatcher *d, const CcMessage *m, CcServer *s,
                 const CcClass *class, guint slice)
 {
-  const CcRemembered *kept = NULL;
+  const CcOutcomeRecord *kept = NULL;
 
-  switch (cc_outcomes_ask (d->shared.outcomes, class->pool, slice,
-                           m->u.request.idempotency, cc_clock_wall (), &kept))
+  switch (cc_outcomes_lookup (d->shared.outcomes, class->pool, slice,
+                              m->u.request.idempotency, cc_clock_wall (),
+                              &kept))
     {
     case CC_REPEAT_NEW:
       start_or_refuse (d, m, s, class, slice);
--- a/outcome.c
+++ b/outcome.c
@@ -37,9 +37,9 @@
   Slice *slice;
   gint64 wall; /* time in the key */
   gboolean done;
-  CcRemembered kept; /* if done */
-  GList link;        /* in the list by arrival */
-  GList in_slice;    /* in the slice's list */
+  CcOutcomeRecord kept; /* if done */
+  GList link;           /* in the list by arrival */
+  GList in_slice;       /* in the slice's list */
 } Entry;
 
 struct CcOutcomes
@@ -160,8 +160,8 @@
  * add up: with the callers' alone, such a key was run again here once our clock
  * had reached it. */
 void
-cc_outcomes_taken (CcOutcomes *o, const char *pool, guint slice, gint64 wall,
-                   gboolean first_ever)
+cc_outcomes_take_over (CcOutcomes *o, const char *pool, guint slice,
+                       gint64 wall, gboolean first_ever)
 {
   Slice *s = find_slice (o, pool, slice);
 
@@ -223,7 +223,7 @@
 {
   Entry *e = g_queue_peek_head (&o->by_age);
 
-  while (e != NULL && e->done && e->wall < wall - CC_OUTCOME_KEPT)
+  while (e != NULL && e->done && e->wall < wall - CC_OUTCOME_RETENTION)
     {
       evict_oldest (o);
       e = g_queue_peek_head (&o->by_age);
@@ -233,8 +233,8 @@
 /* What to do with a request whose Idempotency-Key is ID, at WALL.  With
  * CC_REPEAT_DONE, *FOUND is its outcome, valid until the next call. */
 CcRepeat
-cc_outcomes_ask (CcOutcomes *o, const char *pool, guint slice, const char *id,
-                 gint64 wall, const CcRemembered **found)
+cc_outcomes_lookup (CcOutcomes *o, const char *pool, guint slice,
+                    const char *id, gint64 wall, const CcOutcomeRecord **found)
 {
   g_autofree char *name = entry_name (pool, slice, id);
   Entry *e;
@@ -290,7 +290,7 @@
 }
 
 static void
-keep (CcOutcomes *o, Entry *e, const CcRemembered *r)
+keep (CcOutcomes *o, Entry *e, const CcOutcomeRecord *r)
 {
   e->done = TRUE;
   e->kept.outcome = r->outcome;
@@ -308,7 +308,7 @@
 /* The attempt of ID ended in R, which is copied. */
 void
 cc_outcomes_finish (CcOutcomes *o, const char *pool, guint slice,
-                    const char *id, const CcRemembered *r)
+                    const char *id, const CcOutcomeRecord *r)
 {
   g_autofree char *name = entry_name (pool, slice, id);
   Entry *e = g_hash_table_lookup (o->entries, name);
@@ -321,7 +321,7 @@
  * FALSE if ID is no idempotency key. */
 gboolean
 cc_outcomes_import (CcOutcomes *o, const char *pool, guint slice,
-                    const char *id, const CcRemembered *r)
+                    const char *id, const CcOutcomeRecord *r)
 {
   g_autofree char *name = entry_name (pool, slice, id);
   gint64 made;
@@ -339,7 +339,7 @@
 cc_outcomes_each (CcOutcomes *o, const char *pool, guint slice,
                   CcOutcomeEach each, gpointer data)
 {
-  static const CcRemembered unknown = { .outcome = CC_OUTCOME_UNKNOWN };
+  static const CcOutcomeRecord unknown = { .outcome = CC_OUTCOME_UNKNOWN };
   const Slice *s = find_slice (o, pool, slice);
 
   for (GList *l = s->entries.head; l != NULL; l = l->next)
@@ -352,7 +352,7 @@
 
 /* The attempt of ID certainly did not run: a repeat may. */
 void
-cc_outcomes_forget (CcOutcomes *o, const char *pool, guint slice,
+cc_outcomes_remove (CcOutcomes *o, const char *pool, guint slice,
                     const char *id)
 {
   g_autofree char *name = entry_name (pool, slice, id);
@@ -377,11 +377,12 @@
     {
       g_autofree char *name = entry_name (pool, slice, ids->pdata[i]);
       const Entry *e = g_hash_table_lookup (o->entries, name);
-      CcRemembered r;
+      CcOutcomeRecord r;
 
       if (e == NULL)
         continue;
-      r = e->done ? e->kept : (CcRemembered){ .outcome = CC_OUTCOME_UNKNOWN };
+      r = e->done ? e->kept
+                  : (CcOutcomeRecord){ .outcome = CC_OUTCOME_UNKNOWN };
       if (r.headers != NULL)
         g_variant_ref (r.headers);
       if (r.body != NULL)
--- a/outcome.h
+++ b/outcome.h
@@ -5,7 +5,7 @@
 #include "capercrank.h"
 
 /* How long an outcome is remembered.  Callers repeat within minutes. */
-#define CC_OUTCOME_KEPT (10 * 60 * CC_SECOND)
+#define CC_OUTCOME_RETENTION (10 * 60 * CC_SECOND)
 
 /* Outcomes kept at most, and bytes of answers among them. */
 #define CC_OUTCOMES_MAX 50000
@@ -27,34 +27,34 @@
   guint status;      /* HTTP status of the server's answer */
   GVariant *headers; /* packed, see headers.h; NULL if none */
   GBytes *body;      /* NULL if it was too large to keep */
-} CcRemembered;
+} CcOutcomeRecord;
 
 typedef struct CcOutcomes CcOutcomes;
 
 /* ID and R are valid during the call. */
-typedef void (*CcOutcomeEach) (const char *id, const CcRemembered *r,
+typedef void (*CcOutcomeEach) (const char *id, const CcOutcomeRecord *r,
                                gpointer data);
 
 CcOutcomes *cc_outcomes_new (void);
 void cc_outcomes_set_limits (CcOutcomes *o, guint count, gsize bytes);
 void cc_outcomes_free (CcOutcomes *o);
 gboolean cc_idempotency_time (const char *key, gint64 *wall);
-void cc_outcomes_taken (CcOutcomes *o, const char *pool, guint slice,
-                        gint64 wall, gboolean first_ever);
+void cc_outcomes_take_over (CcOutcomes *o, const char *pool, guint slice,
+                            gint64 wall, gboolean first_ever);
 void cc_outcomes_lower_horizon (CcOutcomes *o, const char *pool, guint slice,
                                 gint64 horizon);
 gint64 cc_outcomes_horizon (CcOutcomes *o, const char *pool, guint slice);
-CcRepeat cc_outcomes_ask (CcOutcomes *o, const char *pool, guint slice,
-                          const char *id, gint64 wall,
-                          const CcRemembered **found);
+CcRepeat cc_outcomes_lookup (CcOutcomes *o, const char *pool, guint slice,
+                             const char *id, gint64 wall,
+                             const CcOutcomeRecord **found);
 void cc_outcomes_start (CcOutcomes *o, const char *pool, guint slice,
                         const char *id, gint64 wall);
 void cc_outcomes_finish (CcOutcomes *o, const char *pool, guint slice,
-                         const char *id, const CcRemembered *r);
-void cc_outcomes_forget (CcOutcomes *o, const char *pool, guint slice,
+                         const char *id, const CcOutcomeRecord *r);
+void cc_outcomes_remove (CcOutcomes *o, const char *pool, guint slice,
                          const char *id);
 gboolean cc_outcomes_import (CcOutcomes *o, const char *pool, guint slice,
-                             const char *id, const CcRemembered *r);
+                             const char *id, const CcOutcomeRecord *r);
 void cc_outcomes_each (CcOutcomes *o, const char *pool, guint slice,
                        CcOutcomeEach each, gpointer data);
 void cc_outcomes_inherit (CcOutcomes *o, const char *pool, guint slice,
--- a/outcome_transfer.c
+++ b/outcome_transfer.c
@@ -118,8 +118,8 @@
   if (last != NULL && last->epoch == epoch && last->term == owner->term &&
       g_str_equal (last->server, owner->name))
     return;
-  cc_outcomes_taken (t->outcomes, m->pool, slice, wall,
-                     epoch == 1 && owner->term == 1);
+  cc_outcomes_take_over (t->outcomes, m->pool, slice, wall,
+                         epoch == 1 && owner->term == 1);
   last = g_new0 (Hold, 1);
   last->server = g_strdup (owner->name);
   last->epoch = epoch;
@@ -132,7 +132,7 @@
 static void
 import (CcTransfer *t, const CcMsgOutcomes *o)
 {
-  CcRemembered r;
+  CcOutcomeRecord r;
   GVariantIter iter;
   GVariant *body;
   const char *id;
@@ -192,7 +192,7 @@
 }
 
 static gsize
-size_of (const CcRemembered *r)
+size_of (const CcOutcomeRecord *r)
 {
   gsize size = r->body != NULL ? g_bytes_get_size (r->body) : 0;
 
@@ -200,7 +200,7 @@
 }
 
 static void
-pack (const char *id, const CcRemembered *r, gpointer data)
+pack (const char *id, const CcOutcomeRecord *r, gpointer data)
 {
   Packing *p = data;
   gsize size = 0;
@@ -346,7 +346,7 @@
   if (a->epoch != candidate.epoch || a->term != candidate.term ||
       !was_last (m, unit, &candidate, me))
     return NULL;
-  cc_outcomes_taken (t->outcomes, m->pool, unit, a->horizon, FALSE);
+  cc_outcomes_take_over (t->outcomes, m->pool, unit, a->horizon, FALSE);
   lower_if_complete (t, m->pool, unit, &candidate, a);
   held = g_new0 (Hold, 1);
   *held = candidate;
--- a/promise.c
+++ b/promise.c
@@ -103,7 +103,7 @@
   b->version = version;
   b->voters = voters;
   b->needed = count / 2 + 1;
-  b->asked_at = now;
+  b->requested_at = now;
   b->said = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
--- a/promise.h
+++ b/promise.h
@@ -15,11 +15,11 @@
 
 typedef enum
 {
-  CC_VOTE_ASK = 1,  /* holder: let nobody take my lease over for a term */
-  CC_VOTE_PROMISED, /* voter: I won't */
-  CC_VOTE_RELEASE,  /* assigner: give up the lease at this version */
-  CC_VOTE_RELEASED, /* voter: no promise lives, none will be given */
-  CC_VOTE_REFUSED   /* voter: neither */
+  CC_VOTE_REQUEST = 1, /* holder: let nobody take my lease over for a term */
+  CC_VOTE_PROMISED,    /* voter: I won't */
+  CC_VOTE_RELEASE,     /* assigner: give up the lease at this version */
+  CC_VOTE_RELEASED,    /* voter: no promise lives, none will be given */
+  CC_VOTE_REFUSED      /* voter: neither */
 } CcVoteKind;
 
 typedef struct
@@ -32,12 +32,12 @@
 /* One question put to all voters. */
 typedef struct
 {
-  guint64 number;   /* of the question; answers to others don't count */
-  guint64 version;  /* of the lease row that it is about */
-  guint64 voters;   /* version of the row that named the voters */
-  guint needed;     /* answers that make a majority */
-  gint64 asked_at;  /* us */
-  GHashTable *said; /* set of the voters' addresses that agreed */
+  guint64 number;      /* of the question; answers to others don't count */
+  guint64 version;     /* of the lease row that it is about */
+  guint64 voters;      /* version of the row that named the voters */
+  guint needed;        /* answers that make a majority */
+  gint64 requested_at; /* us */
+  GHashTable *said;    /* set of the voters' addresses that agreed */
 } CcBallot;
 
 void cc_voter_init (CcVoter *v, gint64 now);
--- a/server.c
+++ b/server.c
@@ -71,14 +71,14 @@
 remember (CcServer *s, const CcJob *j, const CcMsgReply *r)
 {
   g_autofree char *name = NULL;
-  CcRemembered kept = { r->outcome, r->status, r->headers, r->body };
+  CcOutcomeRecord kept = { r->outcome, r->status, r->headers, r->body };
 
   if (!j->once_only)
     return;
   name = cc_first_attempt_name (j->pool, j->slice, j->idempotency);
   g_hash_table_remove (s->shared->first_attempts, name);
   if (r->outcome == CC_OUTCOME_NOT_RUN)
-    cc_outcomes_forget (s->shared->outcomes, j->pool, j->slice, j->idempotency);
+    cc_outcomes_remove (s->shared->outcomes, j->pool, j->slice, j->idempotency);
   else
     cc_outcomes_finish (s->shared->outcomes, j->pool, j->slice, j->idempotency,
                         &kept);
@@ -412,7 +412,7 @@
   s->ticked = now;
   s->asked = cc_server_may_serve (s, now);
   if (gap >= STANDSTILL_MIN || !asked)
-    cc_holding_stood_still (s->holding, gap);
+    cc_holding_add_stall (s->holding, gap);
   if (gap >= STANDSTILL_MIN)
     cc_load_stood_still (&s->load, gap);
 }
@@ -422,7 +422,7 @@
 cc_server_tick (CcServer *s, gint64 now)
 {
   skip_standstill (s, now);
-  if (cc_holding_judge (s->holding, now))
+  if (cc_holding_update_lost (s->holding, now))
     {
       cc_log (CC_LOG_WARNING, "server", "%s/%s is %s", s->holding->pool,
               s->holding->name, s->holding->lost ? "lost" : "back");
--- a/takeover.c
+++ b/takeover.c
@@ -28,7 +28,7 @@
   CcVoting *voting;
   GHashTable *watches;    /* lease id to CcLeaseWatch */
   GHashTable *deleting;   /* set of lease ids */
-  GPtrArray *voters;      /* of CcVoterAt, as in the row */
+  GPtrArray *voters;      /* of CcVoterInfo, as in the row */
   guint64 voters_version; /* of the row; 0: none */
   gboolean writing;       /* a change of voters is on its way */
   CcCounter *deleted;
@@ -175,7 +175,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const CcMember *m = value;
-      CcVoterAt *v = g_new0 (CcVoterAt, 1);
+      CcVoterInfo *v = g_new0 (CcVoterInfo, 1);
 
       v->address = m->address;
       v->zone = m->zone;
@@ -195,7 +195,7 @@
     return;
   read_voters (t);
   members = list_members (t);
-  if (!all_have_seen (t, leases) || !cc_voters_step (t->voters, members, now))
+  if (!all_have_seen (t, leases) || !cc_voters_update (t->voters, members, now))
     return;
   value = cc_voters_print (t->voters);
   x = cc_transaction_new ();
--- a/tenure.c
+++ b/tenure.c
@@ -161,10 +161,10 @@
 
   value = g_strdup_printf ("{\"sequence\":%" G_GUINT64_FORMAT
                            ",\"voters\":%" G_GUINT64_FORMAT "}",
-                           sequence, t->voters_seen);
+                           sequence, t->voters_version);
   cc_transaction_check (x, lease, t->lease.version);
   if (!t->lease.registered)
-    cc_transaction_check (x, "voters", t->voters_seen);
+    cc_transaction_check (x, "voters", t->voters_version);
   cc_transaction_put (x, lease, value);
   if (!t->lease.registered || (t->draining && !t->drain_written))
     {
@@ -255,7 +255,7 @@
   gint64 now = cc_clock_now ();
 
   tell (t);
-  if (t->calling || t->closed || (!t->informed && !t->closing))
+  if (t->calling || t->closed || (!t->may_register && !t->closing))
     return G_SOURCE_CONTINUE;
   if (t->closing)
     delete_rows (t);
--- a/tenure.h
+++ b/tenure.h
@@ -18,12 +18,12 @@
   guint64 incarnation;
   guint count; /* how many ids this process has had */
   CcLease lease;
-  gboolean informed;   /* the view is fresh enough to register */
-  guint64 voters_seen; /* version of the newest voters' row in the view */
-  gboolean calling;    /* a call to the platform is in progress */
-  gboolean doubtful;   /* a write's answer was lost: read before the next */
-  gboolean draining;   /* hand everything over */
-  gboolean drain_sent; /* the write in progress, or the last, says so */
+  gboolean may_register;  /* the view is fresh enough to register */
+  guint64 voters_version; /* version of the newest voters' row in the view */
+  gboolean calling;       /* a call to the platform is in progress */
+  gboolean doubtful;      /* a write's answer was lost: read before the next */
+  gboolean draining;      /* hand everything over */
+  gboolean drain_sent;    /* the write in progress, or the last, says so */
   gboolean drain_written;
   gboolean closing; /* the rows are to be deleted */
   gboolean closed;  /* they are, or could not be */
--- a/test/ownership_dispatcher.c
+++ b/test/ownership_dispatcher.c
@@ -289,7 +289,8 @@
 static void
 end_overdue (World *w, Peer *p, Held *h)
 {
-  gboolean lost = cc_holding_judge (h->holding, w->now) && h->holding->lost;
+  gboolean lost =
+      cc_holding_update_lost (h->holding, w->now) && h->holding->lost;
 
   for (guint i = h->attempts->len; i-- > 0;)
     if (lost || world_wall (w, p->skew) >=
@@ -314,7 +315,7 @@
       cc_holding_may_send (h->holding, slice, w->now))
     send_work (w, p, i, slice);
   if (w->omit == OMIT_QUIET)
-    h->holding->doubt = FALSE;
+    h->holding->unconfirmed = FALSE;
   report (w, p, i);
 }
 
--- a/test/test_outcome.c
+++ b/test/test_outcome.c
@@ -82,7 +82,7 @@
   w->offset = g_rand_int_range (w->rand, (gint32) -half, (gint32) half + 1);
   w->began = wall (w);
   for (guint s = 0; s < SLICES; s++)
-    cc_outcomes_taken (w->memory, POOL, s, wall (w), w->life == 1);
+    cc_outcomes_take_over (w->memory, POOL, s, wall (w), w->life == 1);
 }
 
 static Key *
@@ -135,9 +135,9 @@
 static void
 ask (World *w, Key *k)
 {
-  const CcRemembered *kept = NULL;
+  const CcOutcomeRecord *kept = NULL;
   CcRepeat r =
-      cc_outcomes_ask (w->memory, POOL, k->slice, k->id, wall (w), &kept);
+      cc_outcomes_lookup (w->memory, POOL, k->slice, k->id, wall (w), &kept);
 
   w->answers[r]++;
   if (must_be_new (w, k) && r != CC_REPEAT_NEW)
@@ -173,7 +173,7 @@
 {
   guint size = (guint) g_rand_int_range (w->rand, 0, 900);
   g_autoptr (GBytes) body = g_bytes_new_take (g_malloc0 (size), size);
-  CcRemembered r = { CC_OUTCOME_RUN, 200 + size, NULL, body };
+  CcOutcomeRecord r = { CC_OUTCOME_RUN, 200 + size, NULL, body };
 
   if (k->life != w->life)
     {
@@ -182,7 +182,7 @@
     }
   if (g_rand_int_range (w->rand, 0, 4) == 0)
     {
-      cc_outcomes_forget (w->memory, POOL, k->slice, k->id);
+      cc_outcomes_remove (w->memory, POOL, k->slice, k->id);
       k->state = KEY_IDLE;
       return;
     }
@@ -217,7 +217,7 @@
   else if (what < 98)
     w->now += g_rand_int_range (w->rand, 0, 200) * CC_MS;
   else if (what == 98)
-    w->now += g_rand_boolean (w->rand) ? CC_OUTCOME_KEPT : CC_SECOND;
+    w->now += g_rand_boolean (w->rand) ? CC_OUTCOME_RETENTION : CC_SECOND;
   else
     new_holder (w);
 }
--- a/test/test_outcome_chunks.c
+++ b/test/test_outcome_chunks.c
@@ -67,7 +67,7 @@
 {
   CcOutcomes *o = cc_outcomes_new ();
   CcTransfer *t = cc_transfer_new (o);
-  CcRemembered r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
+  CcOutcomeRecord r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
   GPtrArray *chunks =
       g_ptr_array_new_with_free_func ((GDestroyNotify) g_bytes_unref);
 
--- a/test/test_outcome_transfer.c
+++ b/test/test_outcome_transfer.c
@@ -361,7 +361,7 @@
 static void
 run (World *w, Process *p, Key *k, guint unit)
 {
-  CcRemembered r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
+  CcOutcomeRecord r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
 
   if (k->runs > 0)
     {
@@ -377,7 +377,7 @@
 static void
 ask (World *w, Key *k)
 {
-  const CcRemembered *kept;
+  const CcOutcomeRecord *kept;
 
   for (guint i = 0; i < PROCESSES; i++)
     {
@@ -389,7 +389,8 @@
       unit = cc_slicemap_unit (p->map, k->hash);
       if (!holds (p, unit))
         continue;
-      switch (cc_outcomes_ask (p->outcomes, POOL, unit, k->id, w->now, &kept))
+      switch (
+          cc_outcomes_lookup (p->outcomes, POOL, unit, k->id, w->now, &kept))
         {
         case CC_REPEAT_NEW:
           run (w, p, k, unit);
@@ -573,7 +574,7 @@
 an_unread_hold_passes_the_memory_on (void **state)
 {
   World w = { .seed = 1 };
-  const CcRemembered *kept;
+  const CcOutcomeRecord *kept;
   CcMapServer *s;
   Key *k;
 
@@ -601,12 +602,12 @@
   read_map (&w, &w.p[2]);
   assert_true (holds (&w.p[2], 0));
   assert_int_equal (
-      cc_outcomes_ask (w.p[2].outcomes, POOL, 0, k->id, w.now, &kept),
+      cc_outcomes_lookup (w.p[2].outcomes, POOL, 0, k->id, w.now, &kept),
       CC_REPEAT_DONE);
   k = new_key (&w);
   w.now += CC_SECOND;
   assert_int_equal (
-      cc_outcomes_ask (w.p[2].outcomes, POOL, 0, k->id, w.now, &kept),
+      cc_outcomes_lookup (w.p[2].outcomes, POOL, 0, k->id, w.now, &kept),
       CC_REPEAT_NEW);
   world_clear (&w);
 }
@@ -620,8 +621,8 @@
 {
   World w = { .seed = 1 };
   Process *p = &w.p[0];
-  CcRemembered r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
-  const CcRemembered *kept = NULL;
+  CcOutcomeRecord r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
+  const CcOutcomeRecord *kept = NULL;
   gint32 unit;
   Key *k;
 
@@ -641,7 +642,7 @@
   assert_true (
       cc_transfer_stopped (p->transfer, w.map, "server-0", p->id, post, p));
   assert_int_equal (
-      cc_outcomes_ask (p->outcomes, POOL, (guint) unit, k->id, w.now, &kept),
+      cc_outcomes_lookup (p->outcomes, POOL, (guint) unit, k->id, w.now, &kept),
       CC_REPEAT_DONE);
   assert_int_equal (kept->outcome, CC_OUTCOME_RUN);
   world_clear (&w);
@@ -653,7 +654,7 @@
 a_split_beside_a_handover_takes_the_memory_along (void **state)
 {
   World w = { .seed = 1 };
-  const CcRemembered *kept;
+  const CcOutcomeRecord *kept;
   CcMapServer *s;
   guint unit;
   Key *k;
@@ -682,7 +683,7 @@
   assert_true (unit >= SLICES);
   assert_true (holds (&w.p[1], unit));
   assert_int_equal (
-      cc_outcomes_ask (w.p[1].outcomes, POOL, unit, k->id, w.now, &kept),
+      cc_outcomes_lookup (w.p[1].outcomes, POOL, unit, k->id, w.now, &kept),
       CC_REPEAT_DONE);
   world_clear (&w);
 }
--- a/test/test_promise.c
+++ b/test/test_promise.c
@@ -109,13 +109,13 @@
       w->lease.sent_at = 0;
       cc_lease_begin (&w->lease, w->now);
       if (w->now >= w->apart_until)
-        post (w, (Wire){ TO_TABLE, CC_VOTE_ASK, 0, 0, w->lease.sequence,
+        post (w, (Wire){ TO_TABLE, CC_VOTE_REQUEST, 0, 0, w->lease.sequence,
                          w->lease.version, 0 });
     }
   if (w->now >= w->ask_due)
     {
       w->ask_due = w->now + CC_LEASE_PERIOD;
-      ask_all (w, &w->asking, CC_VOTE_ASK, w->lease.version);
+      ask_all (w, &w->asking, CC_VOTE_REQUEST, w->lease.version);
     }
 }
 
@@ -141,7 +141,7 @@
 
   if (w->omit == OMIT_QUIET)
     v->quiet_until = 0;
-  if (m->what == CC_VOTE_ASK)
+  if (m->what == CC_VOTE_REQUEST)
     return cc_voter_promise (v, id, m->version, now);
   if (w->omit == OMIT_LIVE)
     now += 10 * CC_PROMISE_TERM;
@@ -151,7 +151,7 @@
 static void
 voter_takes (World *w, const Wire *m)
 {
-  gboolean ask = m->what == CC_VOTE_ASK;
+  gboolean ask = m->what == CC_VOTE_REQUEST;
 
   if (judge_voter (w, &w->voters[m->voter], m))
     post (w, (Wire){ ask ? TO_HOLDER : TO_ASSIGNER, m->what, 0, m->voter,
@@ -174,9 +174,9 @@
   if (!count (w, &w->asking, m))
     return;
   if (w->omit == OMIT_REVIVAL)
-    w->lease.valid_until = MAX (before, w->asking.asked_at + CC_LEASE_TERM);
+    w->lease.valid_until = MAX (before, w->asking.requested_at + CC_LEASE_TERM);
   else
-    cc_lease_extend (&w->lease, w->asking.asked_at, w->now);
+    cc_lease_extend (&w->lease, w->asking.requested_at, w->now);
   w->extended += w->lease.valid_until > before;
 }
 
@@ -467,7 +467,7 @@
   guint n = 0;
 
   for (guint i = 0; i < a->len; i++)
-    n += !cc_voters_have (b, ((CcVoterAt *) a->pdata[i])->address);
+    n += !cc_voters_contain (b, ((CcVoterInfo *) a->pdata[i])->address);
   return n;
 }
 
@@ -476,7 +476,7 @@
 static void
 test_voters_change_by_one (void **state)
 {
-  CcVoterAt all[15];
+  CcVoterInfo all[15];
   char addresses[15][2] = { { 0 } };
   GPtrArray *voters = cc_voters_parse (NULL);
   GRand *rand = g_rand_new_with_seed (1);
@@ -487,7 +487,7 @@
     {
       addresses[i][0] = (char) ('a' + i);
       all[i] =
-          (CcVoterAt){ addresses[i], (char *[]){ "x", "y", "z" }[i % 3], 0 };
+          (CcVoterInfo){ addresses[i], (char *[]){ "x", "y", "z" }[i % 3], 0 };
     }
   for (guint t = 1; t < 20000; t++)
     {
@@ -498,7 +498,7 @@
       for (guint i = 0; i < 15; i++)
         if (g_rand_int_range (rand, 0, 1 + (gint32) (t / 100 + i) % 7) == 0)
           g_ptr_array_add (members, &all[i]);
-      changes += cc_voters_step (voters, members, (gint64) t * CC_SECOND);
+      changes += cc_voters_update (voters, members, (gint64) t * CC_SECOND);
       if (before->len > 0)
         assert_true (
             missing_in (before, voters) + missing_in (voters, before) <= 1);
--- a/test/test_slicemap.c
+++ b/test/test_slicemap.c
@@ -302,7 +302,7 @@
 {
   guint key = pick (s, KEYS);
   Dispatcher *d = &s->d[pick (s, DISPATCHERS)];
-  const CcRemembered *found;
+  const CcOutcomeRecord *found;
   const CcMapServer *owner;
   gint32 server;
   guint unit;
@@ -322,7 +322,7 @@
       !cc_holding_owns (s->held[server], unit) ||
       !cc_holding_may_send (s->held[server], unit, s->now))
     return;
-  switch (cc_outcomes_ask (d->outcomes, "p", unit, id, wall (s), &found))
+  switch (cc_outcomes_lookup (d->outcomes, "p", unit, id, wall (s), &found))
     {
     case CC_REPEAT_NEW:
       start (s, d, key, unit, server, id);
@@ -338,7 +338,7 @@
 static void
 end_attempt (Schedule *s)
 {
-  const CcRemembered run = { .outcome = CC_OUTCOME_RUN, .status = 200 };
+  const CcOutcomeRecord run = { .outcome = CC_OUTCOME_RUN, .status = 200 };
   Attempt *a;
 
   if (s->running->len == 0)
--- a/test/test_tenure.c
+++ b/test/test_tenure.c
@@ -108,7 +108,7 @@
   CcTenure *t = cc_tenure_new (p, "i1", "a", table.source, 1, on_tenure, NULL);
 
   (void) state;
-  t->informed = TRUE;
+  t->may_register = TRUE;
   cc_tenure_start (t);
   await_transaction ();
   answer_held ();
--- a/voters.c
+++ b/voters.c
@@ -17,7 +17,7 @@
 static void
 voter_free (gpointer data)
 {
-  CcVoterAt *v = data;
+  CcVoterInfo *v = data;
 
   g_free (v->address);
   g_free (v->zone);
@@ -27,14 +27,14 @@
 static void
 add_voter (GPtrArray *voters, const char *address, const char *zone)
 {
-  CcVoterAt *v = g_new0 (CcVoterAt, 1);
+  CcVoterInfo *v = g_new0 (CcVoterInfo, 1);
 
   v->address = g_strdup (address);
   v->zone = g_strdup (zone);
   g_ptr_array_add (voters, v);
 }
 
-/* The voters (of CcVoterAt) in a row; none if JSON is NULL or damaged.  The
+/* The voters (of CcVoterInfo) in a row; none if JSON is NULL or damaged.  The
  * caller unrefs. */
 GPtrArray *
 cc_voters_parse (const char *json)
@@ -67,7 +67,7 @@
   json_builder_begin_array (b);
   for (guint i = 0; i < voters->len; i++)
     {
-      const CcVoterAt *v = voters->pdata[i];
+      const CcVoterInfo *v = voters->pdata[i];
 
       json_builder_begin_array (b);
       json_builder_add_string_value (b, v->address);
@@ -81,10 +81,10 @@
 
 /* Whether the one at ADDRESS is among VOTERS. */
 gboolean
-cc_voters_have (const GPtrArray *voters, const char *address)
+cc_voters_contain (const GPtrArray *voters, const char *address)
 {
   for (guint i = 0; i < voters->len; i++)
-    if (g_str_equal (((CcVoterAt *) voters->pdata[i])->address, address))
+    if (g_str_equal (((CcVoterInfo *) voters->pdata[i])->address, address))
       return TRUE;
   return FALSE;
 }
@@ -95,21 +95,21 @@
   guint n = 0;
 
   for (guint i = 0; i < voters->len; i++)
-    n += g_str_equal (((CcVoterAt *) voters->pdata[i])->zone, zone);
+    n += g_str_equal (((CcVoterInfo *) voters->pdata[i])->zone, zone);
   return n;
 }
 
 /* The member that isn't a voter and whose zone has the fewest. */
-static const CcVoterAt *
+static const CcVoterInfo *
 next_voter (const GPtrArray *voters, const GPtrArray *members)
 {
-  const CcVoterAt *best = NULL;
+  const CcVoterInfo *best = NULL;
 
   for (guint i = 0; i < members->len; i++)
     {
-      const CcVoterAt *m = members->pdata[i];
+      const CcVoterInfo *m = members->pdata[i];
 
-      if (!cc_voters_have (voters, m->address) &&
+      if (!cc_voters_contain (voters, m->address) &&
           (best == NULL ||
            in_zone (voters, m->zone) < in_zone (voters, best->zone)))
         best = m;
@@ -122,12 +122,12 @@
 {
   for (guint i = 0; i < voters->len; i++)
     {
-      CcVoterAt *v = voters->pdata[i];
+      CcVoterInfo *v = voters->pdata[i];
 
-      if (cc_voters_have (members, v->address))
-        v->missed = 0;
-      else if (v->missed == 0)
-        v->missed = now;
+      if (cc_voters_contain (members, v->address))
+        v->missing_since = 0;
+      else if (v->missing_since == 0)
+        v->missing_since = now;
     }
 }
 
@@ -136,9 +136,10 @@
 {
   for (guint i = 0; i < voters->len; i++)
     {
-      const CcVoterAt *v = voters->pdata[i];
+      const CcVoterInfo *v = voters->pdata[i];
 
-      if (v->missed == 0 || now < v->missed + CC_VOTER_MISSED)
+      if (v->missing_since == 0 ||
+          now < v->missing_since + CC_VOTER_MISSING_MAX)
         continue;
       g_ptr_array_remove_index (voters, i);
       return TRUE;
@@ -149,7 +150,7 @@
 static gboolean
 add_one (GPtrArray *voters, const GPtrArray *members)
 {
-  const CcVoterAt *next = next_voter (voters, members);
+  const CcVoterInfo *next = next_voter (voters, members);
 
   if (next == NULL || voters->len >= CC_VOTERS_MAX)
     return FALSE;
@@ -158,10 +159,10 @@
 }
 
 /* Changes VOTERS by one, or from none to the first few, as MEMBERS (of
- * CcVoterAt, the dispatchers that stand) call for at NOW.  Returns whether it
+ * CcVoterInfo, the dispatchers that stand) call for at NOW.  Returns whether it
  * did.  A voter that is missed makes room only if it can be replaced. */
 gboolean
-cc_voters_step (GPtrArray *voters, const GPtrArray *members, gint64 now)
+cc_voters_update (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
   note_missed (voters, members, now);
   if (voters->len == 0)
--- a/voters.h
+++ b/voters.h
@@ -10,19 +10,20 @@
 
 /* A voter without a member row for this long is replaced.  Longer than a
  * process takes to start again at the same address. */
-#define CC_VOTER_MISSED (10 * CC_SECOND)
+#define CC_VOTER_MISSING_MAX (10 * CC_SECOND)
 
 typedef struct
 {
   char *address; /* of its mailbox; tells a voter from the others */
   char *zone;
-  gint64 missed; /* assigner: since when it has no member row, us; 0: it has */
-} CcVoterAt;
+  gint64 missing_since; /* assigner: since when it has no member row, us; 0: it
+                           has */
+} CcVoterInfo;
 
 GPtrArray *cc_voters_parse (const char *json);
 char *cc_voters_print (const GPtrArray *voters);
-gboolean cc_voters_have (const GPtrArray *voters, const char *address);
-gboolean cc_voters_step (GPtrArray *voters, const GPtrArray *members,
-                         gint64 now);
+gboolean cc_voters_contain (const GPtrArray *voters, const char *address);
+gboolean cc_voters_update (GPtrArray *voters, const GPtrArray *members,
+                           gint64 now);
 
 #endif
--- a/voting.c
+++ b/voting.c
@@ -111,7 +111,7 @@
 {
   cc_ballot_begin (b, version, v->voters_version, v->voters->len, now);
   for (guint i = 0; i < v->voters->len; i++)
-    send_vote (v, ((CcVoterAt *) v->voters->pdata[i])->address, 0, what, id,
+    send_vote (v, ((CcVoterInfo *) v->voters->pdata[i])->address, 0, what, id,
                version, b->number);
 }
 
@@ -127,7 +127,7 @@
       v->tenure->closing)
     return;
   v->ask_due = now + ASK_PERIOD;
-  ask_all (v, &v->asking, CC_VOTE_ASK, v->tenure->id, l->version, now);
+  ask_all (v, &v->asking, CC_VOTE_REQUEST, v->tenure->id, l->version, now);
 }
 
 static void
@@ -136,15 +136,15 @@
   CcLease *l = &v->tenure->lease;
 
   if (!g_str_equal (m->u.vote.instance, v->tenure->id) ||
-      !cc_voters_have (v->voters, m->reply_to) ||
+      !cc_voters_contain (v->voters, m->reply_to) ||
       v->asking.voters != v->voters_version ||
       !cc_ballot_count (&v->asking, m->u.vote.ballot, m->reply_to))
     return;
-  cc_lease_extend (l, v->asking.asked_at, cc_clock_now ());
+  cc_lease_extend (l, v->asking.requested_at, cc_clock_now ());
   cc_log (CC_LOG_INFO, "renewal",
           "%s is promised a term, asked %" G_GINT64_FORMAT
           " ms ago, the lease lasts %" G_GINT64_FORMAT " ms",
-          v->tenure->id, (cc_clock_now () - v->asking.asked_at) / CC_MS,
+          v->tenure->id, (cc_clock_now () - v->asking.requested_at) / CC_MS,
           (l->valid_until - cc_clock_now ()) / CC_MS);
   ++*v->extended;
   cc_ballot_clear (&v->asking);
@@ -155,7 +155,7 @@
 {
   Release *r = g_hash_table_lookup (v->releases, m->u.vote.instance);
 
-  if (r == NULL || !cc_voters_have (v->voters, m->reply_to) ||
+  if (r == NULL || !cc_voters_contain (v->voters, m->reply_to) ||
       r->ballot.voters != v->voters_version)
     return;
   if (m->u.vote.ballot == r->ballot.number)
@@ -192,7 +192,7 @@
   gint64 now = cc_clock_now ();
   CcVoteKind answer = CC_VOTE_REFUSED;
 
-  if (q->what == CC_VOTE_ASK &&
+  if (q->what == CC_VOTE_REQUEST &&
       cc_voter_promise (&v->voter, q->instance, q->term, now))
     answer = CC_VOTE_PROMISED;
   else if (q->what == CC_VOTE_RELEASE &&
@@ -210,7 +210,7 @@
 {
   switch ((CcVoteKind) m->u.vote.what)
     {
-    case CC_VOTE_ASK:
+    case CC_VOTE_REQUEST:
     case CC_VOTE_RELEASE:
       if (v->tenure != NULL)
         vote (v, m);
