--- a/lease.c
+++ b/lease.c
@@ -1,38 +1,41 @@
-/* The lease of one dispatcher, without network or clock.
+/* The lease of one dispatcher, without network or clock.  It ensures that a
+ * dispatcher which was paused or cut off sends nothing after another has taken
+ * over its servers.
  *
- * Holder: a renewal counts from when it was *sent*, not from its answer, and
- * is compared on a clock that goes on during suspension.  So a holder that was
- * paused, and wakes unaware, finds its lease lapsed at the next check.
+ * Holder: a renewal is valid from when it was *sent*, not from when the answer
+ * was received, on a clock that also runs during suspension.  A holder that was
+ * paused therefore finds its lease lapsed at the next check.
  *
- * Watcher: it sees the row's version change.  A version it first saw at time t
- * was written before t, so its holder stops at t + CC_LEASE_TERM at the latest;
- * the watcher waits a margin longer and may then delete the row.  No two
- * clocks are compared, only spans.
+ * Watcher: it observes changes of the row's version.  A version that it first
+ * read at time t was written before t, so its holder stops at
+ * t + CC_LEASE_TERM at the latest.  The watcher waits CC_LEASE_MARGIN longer
+ * and may then delete the row.  Only durations are compared, never the clocks
+ * of two machines.
  *
- * A renewal whose answer is lost may have been written: the holder then reads
- * the row, and if it finds the sequence it wrote, the renewal counts from when
- * it was sent, as if the answer had come.
+ * A renewal whose answer was lost may have been written.  The holder then reads
+ * the row; if it contains the sequence of that renewal, the renewal is valid
+ * from when it was sent, as if the answer had been received.
  */
 #include "lease.h"
 
-/* Makes L a lease that is not held. */
+/* Initialises L as a lease that is not held. */
 void
 cc_lease_init (CcLease *l)
 {
   *l = (CcLease){ 0 };
 }
 
-/* Whether work may leave the process at NOW.  To be asked immediately before
- * each send: a pause between check and send is what CC_LEASE_MARGIN and the
- * servers' own check of the term cover. */
+/* Whether the lease is valid at NOW, that is, whether work may be sent.  Must
+ * be called immediately before each send; a pause between this check and the
+ * send is covered by CC_LEASE_MARGIN and by the servers' check of the term. */
 gboolean
 cc_lease_is_valid (const CcLease *l, gint64 now)
 {
   return now < l->valid_until;
 }
 
-/* Whether a renewal should be sent at NOW: none is in progress, and a period
- * has passed since the last that counted. */
+/* Whether a renewal is due at NOW: none is in progress, and CC_LEASE_PERIOD has
+ * passed since the last successful one was sent. */
 gboolean
 cc_lease_is_due (const CcLease *l, gint64 now)
 {
@@ -40,7 +43,7 @@
          now >= l->valid_until - CC_LEASE_TERM + CC_LEASE_PERIOD;
 }
 
-/* Notes that a renewal is sent at NOW.  Returns the sequence it is to write. */
+/* Records that a renewal is sent at NOW.  Returns the sequence to write. */
 guint64
 cc_lease_begin (CcLease *l, gint64 now)
 {
@@ -48,7 +51,8 @@
   return ++l->sequence;
 }
 
-/* The renewal in progress was written as transaction VERSION. */
+/* Records that the renewal in progress was written as transaction VERSION, and
+ * extends the lease to a term after it was sent. */
 void
 cc_lease_renewed (CcLease *l, guint64 version)
 {
@@ -58,7 +62,8 @@
   l->sent_at = 0;
 }
 
-/* After a lost answer the row was read and holds SEQUENCE at VERSION. */
+/* Handles a read of the row after a lost answer: it has SEQUENCE at VERSION.
+ * The renewal in progress counts only if SEQUENCE is the one that it wrote. */
 void
 cc_lease_found (CcLease *l, guint64 version, guint64 sequence)
 {
@@ -71,42 +76,45 @@
   l->sent_at = 0;
 }
 
-/* After a lost answer the row was read and is not there.  The id is to be given
- * up, even if it was never registered: the first write may land yet.  It checks
- * that there is no row, which is true again after the id was registered by a
- * second write, lapsed and was deleted; the holder would find its row, renew,
- * and send beside its successor. */
+/* Handles a read of the row after a lost answer which found no row.  The caller
+ * must abandon the id, even if it was never registered: the first write may
+ * still be applied.  That write checks that there is no row, which is true
+ * again after a second write registered the id, the lease lapsed and the row
+ * was deleted; the holder would find its row, renew it, and send at the same
+ * time as its successor. */
 void
 cc_lease_missing (CcLease *l)
 {
   cc_lease_init (l);
 }
 
-/* Peers promised, when asked at ASKED_AT, not to take over for a term.  Counts
- * only at a NOW at which the lease still stands: a promise can come late, from
- * a voter that has forgotten what it released before its restart. */
+/* Extends the lease to a term after REQUESTED_AT, when a majority of the voters
+ * was requested to promise that nobody takes over; they have promised it.  Has
+ * no effect if the lease has lapsed by NOW: a late promise may come from a
+ * voter that restarted and lost its record of having released the lease. */
 void
-cc_lease_extend (CcLease *l, gint64 asked_at, gint64 now)
+cc_lease_extend (CcLease *l, gint64 requested_at, gint64 now)
 {
   if (now < l->valid_until)
-    l->valid_until = MAX (l->valid_until, asked_at + CC_LEASE_TERM);
+    l->valid_until = MAX (l->valid_until, requested_at + CC_LEASE_TERM);
 }
 
-/* The renewal in progress was not written. */
+/* Records that the renewal in progress was not written. */
 void
 cc_lease_failed (CcLease *l)
 {
   l->sent_at = 0;
 }
 
-/* The row is gone: somebody took over.  Nothing may be sent any more. */
+/* Ends the lease at once: its row was deleted by a takeover, so nothing may be
+ * sent under it. */
 void
 cc_lease_revoked (CcLease *l)
 {
   cc_lease_init (l);
 }
 
-/* Notes in W that the row had VERSION at NOW. */
+/* Records in W that the row was read at VERSION at NOW. */
 void
 cc_lease_watch (CcLeaseWatch *w, guint64 version, gint64 now)
 {
@@ -116,7 +124,8 @@
   w->first_seen = now;
 }
 
-/* Whether the holder of the watched row has certainly stopped by NOW. */
+/* Whether the lease of the watched row has lapsed at NOW on its holder's clock
+ * too, so that the holder sends nothing. */
 gboolean
 cc_lease_watch_lapsed (const CcLeaseWatch *w, gint64 now)
 {
--- a/test/test_lease.c
+++ b/test/test_lease.c
@@ -1,6 +1,6 @@
-/* A holder, a watcher and a table, on a clock that jumps: writes land late or
- * twice doubted, answers are lost, the holder sleeps.  The model knows which
- * ids were ever deleted; nothing more is needed to judge. */
+/* Guards against a dispatcher that sends under a lease which was deleted:
+ * writes are applied late or their answers are lost, and holder and watcher are
+ * paused. The model only records which ids were ever deleted. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -20,10 +20,10 @@
 typedef enum
 {
   OMIT_NOTHING,
-  OMIT_SENT_TIME, /* a renewal counts from its answer */
+  OMIT_SENT_TIME, /* a renewal is valid from when its answer is received */
   OMIT_ROW_CHECK, /* the takeover doesn't check the row's version */
   OMIT_MARGIN,    /* the watcher waits for half a term */
-  OMIT_NEW_ID,    /* an id whose registration is in doubt is used again */
+  OMIT_NEW_ID,    /* an id whose registration is unconfirmed is used again */
   OMIT_SEQUENCE   /* any row that is found counts as the last renewal */
 } Omission;
 
@@ -31,19 +31,19 @@
 {
   guint64 version;  /* 0: no row */
   guint64 sequence; /* its value */
-  gboolean deleted; /* was ever taken over */
+  gboolean deleted; /* a takeover has deleted it */
 } Row;
 
-/* A message on its way to the table (WRITE, READ) or back. */
+/* A read or write in transit to the table, or its answer. */
 typedef struct
 {
   gboolean write, answer, watcher;
-  gint64 due;
+  gint64 due; /* when it is delivered, us */
   guint call, id;
   guint64 checked, sequence;
   CcStatus status;
   guint64 version;
-} Wire;
+} Message;
 
 typedef struct
 {
@@ -52,40 +52,40 @@
   gint64 now;
   Row rows[IDS];
   guint64 last;
-  GArray *wires;
+  GArray *messages;
   CcLease lease;
   guint id, call;
-  gboolean calling, doubtful;
-  gint64 call_until, asleep_until;
+  gboolean calling, uncertain;
+  gint64 call_until, holder_paused_until;
   CcLeaseWatch watches[IDS];
   guint64 seen[IDS];
-  gint64 watcher_asleep, look_due;
-  guint faults, deleted, renewed, slept;
+  gint64 watcher_paused_until, poll_due;
+  guint faults, deleted, renewed, pauses;
 } World;
 
 static gint64
-span (World *w, gint64 low, gint64 high)
+random_span (World *w, gint64 low, gint64 high)
 {
   return low + (gint64) (g_rand_double (w->rand) * (double) (high - low));
 }
 
-/* One in eight is seconds late, one in sixteen is lost on the way. */
+/* Sends M: one message in eight is up to 6 s late, one in sixteen is lost. */
 static void
-post (World *w, Wire *m)
+send_message (World *w, Message *m)
 {
   gint32 luck = g_rand_int_range (w->rand, 0, 16);
 
-  m->due = w->now + span (w, CC_MS, 20 * CC_MS);
+  m->due = w->now + random_span (w, CC_MS, 20 * CC_MS);
   if (luck <= 1)
-    m->due += span (w, 0, 6 * CC_SECOND);
+    m->due += random_span (w, 0, 6 * CC_SECOND);
   if (luck != 2)
-    g_array_append_val (w->wires, *m);
+    g_array_append_val (w->messages, *m);
 }
 
 static void
 call (World *w, gboolean write)
 {
-  Wire m = { .write = write, .id = w->id, .call = ++w->call };
+  Message m = { .write = write, .id = w->id, .call = ++w->call };
 
   if (write)
     {
@@ -94,7 +94,7 @@
     }
   w->calling = TRUE;
   w->call_until = w->now + CALL_TIMEOUT;
-  post (w, &m);
+  send_message (w, &m);
 }
 
 static void
@@ -105,11 +105,11 @@
 }
 
 static void
-on_written (World *w, const Wire *m)
+on_written (World *w, const Message *m)
 {
   if (m->status != CC_OK)
     {
-      w->doubtful = TRUE;
+      w->uncertain = TRUE;
       return;
     }
   cc_lease_renewed (&w->lease, m->version);
@@ -119,12 +119,12 @@
 }
 
 static void
-on_read (World *w, const Wire *m)
+on_read (World *w, const Message *m)
 {
   guint64 sequence = w->omit == OMIT_SEQUENCE ? w->lease.sequence : m->sequence;
   gboolean again = w->omit == OMIT_NEW_ID && !w->lease.registered;
 
-  w->doubtful = FALSE;
+  w->uncertain = FALSE;
   if (m->version != 0)
     cc_lease_found (&w->lease, m->version, sequence);
   else if (again)
@@ -142,32 +142,32 @@
   if (w->calling && w->now >= w->call_until)
     {
       w->calling = FALSE;
-      w->doubtful = TRUE;
+      w->uncertain = TRUE;
     }
   if (w->calling)
     return;
-  if (w->doubtful)
+  if (w->uncertain)
     call (w, FALSE);
   else if (cc_lease_is_due (&w->lease, w->now))
     call (w, TRUE);
 }
 
 static void
-take_over (World *w, guint id)
+send_deletion (World *w, guint id)
 {
-  Wire m = { .write = TRUE, .watcher = TRUE, .id = id };
+  Message m = { .write = TRUE, .watcher = TRUE, .id = id };
 
   m.checked = w->seen[id];
-  post (w, &m);
+  send_message (w, &m);
 }
 
-/* The watcher polls; its view may be old when it wakes. */
+/* The watcher polls; its view may be stale after a pause. */
 static void
 tick_watcher (World *w)
 {
-  gint64 enough = w->omit == OMIT_MARGIN ? CC_LEASE_TERM / 2 : 0;
+  gint64 shortened = w->omit == OMIT_MARGIN ? CC_LEASE_TERM / 2 : 0;
 
-  if (w->now < w->look_due)
+  if (w->now < w->poll_due)
     return;
   for (guint i = 0; i < IDS; i++)
     {
@@ -175,15 +175,15 @@
         cc_lease_watch (&w->watches[i], w->seen[i], w->now);
       if (w->seen[i] != 0 &&
           (cc_lease_watch_lapsed (&w->watches[i], w->now) ||
-           (enough != 0 && w->now >= w->watches[i].first_seen + enough)))
-        take_over (w, i);
+           (shortened != 0 && w->now >= w->watches[i].first_seen + shortened)))
+        send_deletion (w, i);
       w->seen[i] = w->rows[i].version;
     }
-  w->look_due = w->now + 200 * CC_MS;
+  w->poll_due = w->now + 200 * CC_MS;
 }
 
 static void
-table_serves (World *w, Wire m)
+handle_request (World *w, Message m)
 {
   Row *r = &w->rows[m.id];
 
@@ -205,14 +205,14 @@
       r->sequence = m.sequence;
     }
   if (!m.watcher)
-    post (w, &m);
+    send_message (w, &m);
 }
 
 static void
-deliver (World *w, const Wire *m)
+deliver (World *w, const Message *m)
 {
   if (!m->answer)
-    table_serves (w, *m);
+    handle_request (w, *m);
   else if (w->calling && m->call == w->call)
     {
       w->calling = FALSE;
@@ -223,13 +223,13 @@
 static void
 deliver_due (World *w)
 {
-  for (guint i = w->wires->len; i-- > 0;)
+  for (guint i = w->messages->len; i-- > 0;)
     {
-      Wire m = g_array_index (w->wires, Wire, i);
+      Message m = g_array_index (w->messages, Message, i);
 
-      if (m.due > w->now || (m.answer && w->now < w->asleep_until))
+      if (m.due > w->now || (m.answer && w->now < w->holder_paused_until))
         continue;
-      g_array_remove_index_fast (w->wires, i);
+      g_array_remove_index_fast (w->messages, i);
       deliver (w, &m);
     }
 }
@@ -240,17 +240,17 @@
   w->now += TICK;
   if (g_rand_int_range (w->rand, 0, 300) == 0)
     {
-      w->asleep_until = w->now + span (w, 0, 5 * CC_SECOND);
-      w->slept++;
+      w->holder_paused_until = w->now + random_span (w, 0, 5 * CC_SECOND);
+      w->pauses++;
     }
   if (g_rand_int_range (w->rand, 0, 300) == 0)
-    w->watcher_asleep = w->now + span (w, 0, 5 * CC_SECOND);
+    w->watcher_paused_until = w->now + random_span (w, 0, 5 * CC_SECOND);
   deliver_due (w);
-  if (w->now >= w->asleep_until)
+  if (w->now >= w->holder_paused_until)
     tick_holder (w);
-  if (w->now >= w->watcher_asleep)
+  if (w->now >= w->watcher_paused_until)
     tick_watcher (w);
-  /* the model: who was deleted never may send again */
+  /* the model: an id whose row was deleted must never send again */
   w->faults += cc_lease_is_valid (&w->lease, w->now) && w->rows[w->id].deleted;
 }
 
@@ -260,38 +260,40 @@
   World w = { .rand = g_rand_new_with_seed (seed), .omit = omit };
 
   w.now = CC_SECOND;
-  w.wires = g_array_new (FALSE, FALSE, sizeof (Wire));
+  w.messages = g_array_new (FALSE, FALSE, sizeof (Message));
   while (w.now < LENGTH && w.id + 1 < IDS)
     step (&w);
   g_rand_free (w.rand);
-  g_array_unref (w.wires);
+  g_array_unref (w.messages);
   return w;
 }
 
-/* A dispatcher sleeps, or its renewals are late, lost or doubted; another
- * deletes its lease.  From then on it must not send under that id: if it did, a
- * server would have two senders. */
+/* A dispatcher is paused, or its renewals are late, lost or unconfirmed, and
+ * its lease is deleted.  If it sent under that id later, a server would have
+ * two senders. */
 static void
 test_schedules (void **state)
 {
-  guint faulty = 0, deleted = 0, renewed = 0;
+  guint failed_seeds = 0, deleted = 0, renewed = 0;
 
   (void) state;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
     {
       World w = run (seed, OMIT_NOTHING);
 
-      if (w.faults > 0 && ++faulty <= 5)
+      if (w.faults > 0 && ++failed_seeds <= 5)
         print_message ("# seed %u: valid after its deletion\n", seed);
       deleted += w.deleted;
       renewed += w.renewed;
     }
   print_message ("# %d seeds, %u faulty; %u renewals, %u takeovers\n", SEEDS,
-                 faulty, renewed, deleted);
-  assert_int_equal (faulty, 0);
+                 failed_seeds, renewed, deleted);
+  assert_int_equal (failed_seeds, 0);
   assert_true (deleted > SEEDS);
 }
 
+/* Each rule that a case leaves out is necessary: without it, some seed shows a
+ * fault. */
 static void
 test_omissions (void **state)
 {
@@ -299,12 +301,12 @@
   {
     Omission omit;
     const char *name;
-  } cases[] = { { OMIT_SENT_TIME, "counting from the sending" },
+  } cases[] = { { OMIT_SENT_TIME, "validity from the time of sending" },
                 { OMIT_ROW_CHECK, "check of the row's version" },
                 { OMIT_MARGIN, "waiting for the whole term" },
-                { OMIT_NEW_ID, "new id after a doubtful registration" },
+                { OMIT_NEW_ID, "new id after an unconfirmed registration" },
                 { OMIT_SEQUENCE, "comparing the sequence" } };
-  guint green = 0;
+  guint undetected = 0;
 
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -314,11 +316,11 @@
 
       while (w.faults == 0 && seed < SEEDS)
         w = run (++seed, cases[i].omit);
-      green += w.faults == 0;
+      undetected += w.faults == 0;
       print_message ("# without %s: %s at seed %u\n", cases[i].name,
                      w.faults > 0 ? "a fault" : "NO FAULT", seed);
     }
-  assert_int_equal (green, 0);
+  assert_int_equal (undetected, 0);
 }
 
 int
