--- a/voters.c
+++ b/voters.c
@@ -1,12 +1,14 @@
-/* Which dispatchers vote (promise.h), without network or clock.
+/* Chooses the dispatchers that vote (promise.h), without network or clock.
  *
- * The set changes by one voter at a time: any majority of a set shares a voter
- * with any majority of the next, but not with one of the set after that.  So
- * the assigner makes a change only when every dispatcher has seen the last one,
- * which each writes into its lease row, and a takeover checks the version of
- * the voters' row.
+ * The set changes by one voter at a time.  Any majority of a set shares a voter
+ * with any majority of the next set, but not with one of the set after that;
+ * a promise and a release could then both get a majority.  So the assigner
+ * makes a change only when every dispatcher has read the previous one, which
+ * each records in its lease row, and a takeover checks the version of the
+ * voters' row.
  *
- * Voters are spread over the zones, so that the loss of one leaves a majority.
+ * Voters are spread over the zones, so that a majority remains when a zone is
+ * lost.
  */
 #include "voters.h"
 
@@ -34,8 +36,8 @@
   g_ptr_array_add (voters, v);
 }
 
-/* The voters (of CcVoterInfo) in a row; none if JSON is NULL or damaged.  The
- * caller unrefs. */
+/* Parses the value of the voters' row into an array of CcVoterInfo, which is
+ * empty if JSON is NULL or not an array.  The caller unrefs it. */
 GPtrArray *
 cc_voters_parse (const char *json)
 {
@@ -57,7 +59,7 @@
   return voters;
 }
 
-/* The row that names VOTERS.  The caller frees it. */
+/* Formats VOTERS as the value of the voters' row.  The caller frees it. */
 char *
 cc_voters_print (const GPtrArray *voters)
 {
@@ -79,7 +81,7 @@
   return json_to_string (root, FALSE);
 }
 
-/* Whether the one at ADDRESS is among VOTERS. */
+/* Whether VOTERS contains the one with ADDRESS. */
 gboolean
 cc_voters_contain (const GPtrArray *voters, const char *address)
 {
@@ -90,7 +92,7 @@
 }
 
 static guint
-in_zone (const GPtrArray *voters, const char *zone)
+count_in_zone (const GPtrArray *voters, const char *zone)
 {
   guint n = 0;
 
@@ -99,7 +101,8 @@
   return n;
 }
 
-/* The member that isn't a voter and whose zone has the fewest. */
+/* The member that is not a voter and whose zone has the fewest voters; NULL if
+ * all members are voters. */
 static const CcVoterInfo *
 next_voter (const GPtrArray *voters, const GPtrArray *members)
 {
@@ -110,15 +113,15 @@
       const CcVoterInfo *m = members->pdata[i];
 
       if (!cc_voters_contain (voters, m->address) &&
-          (best == NULL ||
-           in_zone (voters, m->zone) < in_zone (voters, best->zone)))
+          (best == NULL || count_in_zone (voters, m->zone) <
+                               count_in_zone (voters, best->zone)))
         best = m;
     }
   return best;
 }
 
 static void
-note_missed (GPtrArray *voters, const GPtrArray *members, gint64 now)
+update_missing (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
   for (guint i = 0; i < voters->len; i++)
     {
@@ -132,7 +135,7 @@
 }
 
 static gboolean
-drop_missed (GPtrArray *voters, gint64 now)
+remove_missing (GPtrArray *voters, gint64 now)
 {
   for (guint i = 0; i < voters->len; i++)
     {
@@ -158,13 +161,15 @@
   return TRUE;
 }
 
-/* Changes VOTERS by one, or from none to the first few, as MEMBERS (of
- * CcVoterInfo, the dispatchers that stand) call for at NOW.  Returns whether it
- * did.  A voter that is missed makes room only if it can be replaced. */
+/* Adds one voter or removes one that has no member row, or chooses the first
+ * CC_VOTERS_MIN if there are none.  MEMBERS (of CcVoterInfo) are the registered
+ * dispatchers at NOW.  Returns whether VOTERS changed.  A missing voter is
+ * removed only if there are more than CC_VOTERS_MIN, so that its replacement
+ * is added first. */
 gboolean
 cc_voters_update (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
-  note_missed (voters, members, now);
+  update_missing (voters, members, now);
   if (voters->len == 0)
     {
       if (members->len < CC_VOTERS_MIN)
@@ -175,5 +180,5 @@
     }
   if (add_one (voters, members))
     return TRUE;
-  return voters->len > CC_VOTERS_MIN && drop_missed (voters, now);
+  return voters->len > CC_VOTERS_MIN && remove_missing (voters, now);
 }
--- a/voters.h
+++ b/voters.h
@@ -1,20 +1,21 @@
-/* The dispatchers that vote on leases: the row that names them. */
+/* The set of dispatchers that vote on leases, and the table row that lists
+ * them. */
 #ifndef CC_VOTERS_H
 #define CC_VOTERS_H
 
 #include "capercrank.h"
 
-/* Fewer than this and there are none: of two, the loss of one would forbid
- * every takeover. */
+/* With fewer members than this there are no voters: of two voters, the loss of
+ * one would prevent every takeover. */
 #define CC_VOTERS_MIN 3
 
-/* A voter without a member row for this long is replaced.  Longer than a
- * process takes to start again at the same address. */
+/* A voter without a member row for this long is replaced.  A process restarts
+ * at the same address in less time. */
 #define CC_VOTER_MISSING_MAX (10 * CC_SECOND)
 
 typedef struct
 {
-  char *address; /* of its mailbox; tells a voter from the others */
+  char *address; /* of its mailbox; identifies the voter */
   char *zone;
   gint64 missing_since; /* assigner: since when it has no member row, us; 0: it
                            has */
--- a/voting.c
+++ b/voting.c
@@ -1,9 +1,10 @@
-/* The network's side of promise.h.  A dispatcher votes, and asks for promises
- * when its renewal is late; an assigner asks for releases.
+/* Sends and receives the messages of promise.h.  A dispatcher votes, and
+ * requests promises when its renewal is late; an assigner requests releases.
  *
- * Load: nothing while the platform answers.  In an outage each dispatcher asks
- * each voter twice a second: with today's 11 instances 242 small messages a
- * second in all, and as many answers. */
+ * Nothing is sent while renewals succeed.  During an outage of the platform
+ * each dispatcher sends a request to each voter every 0.8 s while a majority
+ * promises, and every 0.2 s until one does: with 11 instances 151 to 605 small
+ * messages a second in total, and as many answers. */
 #include "voting.h"
 
 #include "clock.h"
@@ -11,35 +12,36 @@
 #include "metrics.h"
 #include "voters.h"
 
-/* A renewal that has not come through for this long is borne out by promises:
- * two periods, so that one slow answer asks nothing, and a second before the
- * lease ends. */
+/* Promises are requested when no renewal has succeeded for this long: two
+ * periods, so that one slow answer does not cause requests, and 0.8 s before
+ * the lease lapses. */
 #define RENEWAL_LATE (2 * CC_LEASE_PERIOD)
-#define ASK_PERIOD (CC_LEASE_PERIOD / 2)
-#define ISOLATED_AFTER CC_SECOND /* five questions without an answer */
-#define VOTE_EXPIRY (CC_SECOND + CC_SKEW_MAX) /* later it counts no more */
+#define REQUEST_PERIOD (CC_LEASE_PERIOD / 2)
+#define ISOLATED_AFTER CC_SECOND /* five requests without enough answers */
+#define VOTE_EXPIRY (CC_SECOND + CC_SKEW_MAX) /* a vote is useless by then */
 
-/* An assigner's question about one lease. */
+/* An assigner's request to release one lease. */
 typedef struct
 {
   CcBallot ballot;
-  gint64 due;        /* when to ask again, us */
-  gboolean agreed;   /* a majority released it */
-  GHashTable *heard; /* set of voters that answered the last question at all */
+  gint64 due;           /* when to send the next request, us */
+  gboolean agreed;      /* a majority released it */
+  GHashTable *answered; /* set of voters that agreed to the last request or
+                           refused it */
 } Release;
 
 struct CcVoting
 {
   CcMailbox *mailbox;
   CcFollower *follower;
-  CcTenure *tenure; /* NULL: an assigner, which holds and promises nothing */
+  CcTenure *tenure; /* NULL: an assigner, which has no lease and no vote */
   CcVoter voter;
-  CcBallot asking;
-  gint64 ask_due;
+  CcBallot promises;      /* for the lease of TENURE */
+  gint64 promises_due;    /* when to request them again, us */
   guint64 voters_version; /* of the row that VOTERS was read from */
   GPtrArray *voters;
-  GHashTable *releases; /* lease id to Release */
-  gint64 unheard_since; /* too few voters answer since then, us; 0: enough */
+  GHashTable *releases;     /* lease id to Release */
+  gint64 no_majority_since; /* too few voters answer since, us; 0: enough */
   CcCounter *promised;
   CcCounter *released;
   CcCounter *refused;
@@ -52,12 +54,12 @@
   Release *r = data;
 
   cc_ballot_clear (&r->ballot);
-  g_hash_table_unref (r->heard);
+  g_hash_table_unref (r->answered);
   g_free (r);
 }
 
-/* Voting through BOX with the voters that F knows; TENURE is NULL in an
- * assigner. */
+/* Creates the voting state.  Messages go through BOX to the voters listed in
+ * the view of F; TENURE is NULL in an assigner. */
 CcVoting *
 cc_voting_new (CcMailbox *box, CcFollower *f, CcTenure *tenure)
 {
@@ -106,8 +108,8 @@
 }
 
 static void
-ask_all (CcVoting *v, CcBallot *b, CcVoteKind what, const char *id,
-         guint64 version, gint64 now)
+send_to_voters (CcVoting *v, CcBallot *b, CcVoteKind what, const char *id,
+                guint64 version, gint64 now)
 {
   cc_ballot_begin (b, version, v->voters_version, v->voters->len, now);
   for (guint i = 0; i < v->voters->len; i++)
@@ -115,7 +117,8 @@
                version, b->number);
 }
 
-/* Looks at NOW whether the renewal is late, and then asks for promises. */
+/* Requests promises if the lease's renewal is late at NOW.  Called periodically
+ * in a dispatcher. */
 void
 cc_voting_tick (CcVoting *v, gint64 now)
 {
@@ -123,11 +126,12 @@
 
   read_voters (v);
   if (v->voters->len == 0 || !l->registered || !cc_lease_is_valid (l, now) ||
-      now < l->valid_until - CC_LEASE_TERM + RENEWAL_LATE || now < v->ask_due ||
-      v->tenure->closing)
+      now < l->valid_until - CC_LEASE_TERM + RENEWAL_LATE ||
+      now < v->promises_due || v->tenure->closing)
     return;
-  v->ask_due = now + ASK_PERIOD;
-  ask_all (v, &v->asking, CC_VOTE_REQUEST, v->tenure->id, l->version, now);
+  v->promises_due = now + REQUEST_PERIOD;
+  send_to_voters (v, &v->promises, CC_VOTE_REQUEST, v->tenure->id, l->version,
+                  now);
 }
 
 static void
@@ -137,17 +141,18 @@
 
   if (!g_str_equal (m->u.vote.instance, v->tenure->id) ||
       !cc_voters_contain (v->voters, m->reply_to) ||
-      v->asking.voters != v->voters_version ||
-      !cc_ballot_count (&v->asking, m->u.vote.ballot, m->reply_to))
+      v->promises.voters != v->voters_version ||
+      !cc_ballot_count (&v->promises, m->u.vote.ballot, m->reply_to))
     return;
-  cc_lease_extend (l, v->asking.requested_at, cc_clock_now ());
+  cc_lease_extend (l, v->promises.requested_at, cc_clock_now ());
   cc_log (CC_LOG_INFO, "renewal",
-          "%s is promised a term, asked %" G_GINT64_FORMAT
-          " ms ago, the lease lasts %" G_GINT64_FORMAT " ms",
-          v->tenure->id, (cc_clock_now () - v->asking.requested_at) / CC_MS,
+          "lease of %s extended by a majority of voters, requested "
+          "%" G_GINT64_FORMAT " ms ago, valid for another %" G_GINT64_FORMAT
+          " ms",
+          v->tenure->id, (cc_clock_now () - v->promises.requested_at) / CC_MS,
           (l->valid_until - cc_clock_now ()) / CC_MS);
   ++*v->extended;
-  cc_ballot_clear (&v->asking);
+  cc_ballot_clear (&v->promises);
 }
 
 static void
@@ -159,52 +164,57 @@
       r->ballot.voters != v->voters_version)
     return;
   if (m->u.vote.ballot == r->ballot.number)
-    g_hash_table_add (r->heard, g_strdup (m->reply_to));
+    g_hash_table_add (r->answered, g_strdup (m->reply_to));
   if (m->u.vote.what == CC_VOTE_RELEASED &&
       cc_ballot_count (&r->ballot, m->u.vote.ballot, m->reply_to))
     r->agreed = TRUE;
 }
 
-/* Judges the question that is about to be put again. */
+/* Records whether a majority of the voters answered the last request, before
+ * it is repeated. */
 static void
-note_heard (CcVoting *v, Release *r, gint64 now)
+check_majority (CcVoting *v, Release *r, gint64 now)
 {
-  if (g_hash_table_size (r->heard) >= r->ballot.needed)
-    v->unheard_since = 0;
-  else if (v->unheard_since == 0)
-    v->unheard_since = now;
-  g_hash_table_remove_all (r->heard);
+  if (g_hash_table_size (r->answered) >= r->ballot.needed)
+    v->no_majority_since = 0;
+  else if (v->no_majority_since == 0)
+    v->no_majority_since = now;
+  g_hash_table_remove_all (r->answered);
 }
 
-/* Whether an assigner has had no answer from a majority of the voters for so
- * long that another should be active: with the platform in reach, but cut off
- * from the other zones, it would keep its place and take nothing over. */
+/* Whether an assigner has had no answer from a majority of the voters for
+ * ISOLATED_AFTER, so that another assigner should become active: if this one
+ * reaches the platform but is cut off from the other zones, it would stay
+ * active without being able to take over any lease. */
 gboolean
 cc_voting_is_isolated (const CcVoting *v, gint64 now)
 {
-  return v->unheard_since != 0 && now >= v->unheard_since + ISOLATED_AFTER;
+  return v->no_majority_since != 0 &&
+         now >= v->no_majority_since + ISOLATED_AFTER;
 }
 
 static void
 vote (CcVoting *v, const CcMessage *m)
 {
-  const CcMsgVote *q = &m->u.vote;
+  const CcMsgVote *request = &m->u.vote;
   gint64 now = cc_clock_now ();
   CcVoteKind answer = CC_VOTE_REFUSED;
 
-  if (q->what == CC_VOTE_REQUEST &&
-      cc_voter_promise (&v->voter, q->instance, q->term, now))
+  if (request->what == CC_VOTE_REQUEST &&
+      cc_voter_promise (&v->voter, request->instance, request->term, now))
     answer = CC_VOTE_PROMISED;
-  else if (q->what == CC_VOTE_RELEASE &&
-           cc_voter_release (&v->voter, q->instance, q->term, now))
+  else if (request->what == CC_VOTE_RELEASE &&
+           cc_voter_release (&v->voter, request->instance, request->term, now))
     answer = CC_VOTE_RELEASED;
   *v->promised += answer == CC_VOTE_PROMISED;
   *v->released += answer == CC_VOTE_RELEASED;
   *v->refused += answer == CC_VOTE_REFUSED;
-  send_vote (v, m->reply_to, m->from, answer, q->instance, q->term, q->ballot);
+  send_vote (v, m->reply_to, m->from, answer, request->instance, request->term,
+             request->ballot);
 }
 
-/* Handles a VOTE message. */
+/* Handles a CC_MSG_VOTE message: a request, or a vote on one of this process's
+ * requests. */
 void
 cc_voting_receive (CcVoting *v, const CcMessage *m)
 {
@@ -226,9 +236,10 @@
     }
 }
 
-/* Whether lease ID may be deleted at VERSION, as far as the voters go; *VOTERS
- * is then the version of their row (0: there is none), which the deletion has
- * to check.  If not, they are asked; to be called again. */
+/* Whether a majority of the voters has released lease ID at VERSION, so that it
+ * may be deleted.  *VOTERS is set to the version of the voters' row (0: there
+ * is none), which the deletion must check.  If FALSE, the release is requested
+ * when due; the caller repeats the call. */
 gboolean
 cc_voting_release (CcVoting *v, const char *id, guint64 version, gint64 now,
                    guint64 *voters)
@@ -242,7 +253,8 @@
   if (r == NULL)
     {
       r = g_new0 (Release, 1);
-      r->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      r->answered =
+          g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       g_hash_table_insert (v->releases, g_strdup (id), r);
     }
   if (r->agreed && r->ballot.version == version &&
@@ -250,10 +262,10 @@
     return TRUE;
   if (now < r->due)
     return FALSE;
-  if (r->due != 0 && now < r->due + ASK_PERIOD)
-    note_heard (v, r, now);
-  r->due = now + ASK_PERIOD;
+  if (r->due != 0 && now < r->due + REQUEST_PERIOD)
+    check_majority (v, r, now);
+  r->due = now + REQUEST_PERIOD;
   r->agreed = FALSE;
-  ask_all (v, &r->ballot, CC_VOTE_RELEASE, id, version, now);
+  send_to_voters (v, &r->ballot, CC_VOTE_RELEASE, id, version, now);
   return FALSE;
 }
--- a/voting.h
+++ b/voting.h
@@ -1,4 +1,5 @@
-/* Questions and answers about leases between dispatchers and assigners. */
+/* Exchanges the vote messages about leases between dispatchers and assigners.
+ */
 #ifndef CC_VOTING_H
 #define CC_VOTING_H
 
