--- a/takeover.c
+++ b/takeover.c
@@ -1,13 +1,13 @@
-/* Watches the dispatchers' leases.  A lease is deleted, and its holder's
- * servers given to others, when
+/* Watches the dispatchers' leases, so that the servers of a lost dispatcher can
+ * be assigned to others.  A lease is deleted when
  *
- *  - its row has not changed for a term and a margin since it was first seen
- *    (lease.h); and
+ *  - its row has not changed for a term and a margin since that version was
+ *    first read (lease.h); and
  *  - a majority of the voters has released it (promise.h).
  *
- * The deletion checks the row's version, so a renewal that was just written and
- * the deletion exclude each other, and the version of the voters' row, so that
- * nobody is asked who doesn't vote any more. */
+ * The deletion checks the row's version, so that it fails if the lease was
+ * renewed meanwhile, and the version of the voters' row, so that it fails if
+ * the voters that released it are not the present ones. */
 #include "takeover.h"
 
 #include <string.h>
@@ -30,7 +30,7 @@
   GHashTable *deleting;   /* set of lease ids */
   GPtrArray *voters;      /* of CcVoterInfo, as in the row */
   guint64 voters_version; /* of the row; 0: none */
-  gboolean writing;       /* a change of voters is on its way */
+  gboolean writing;       /* a write of the voters' row is in progress */
   CcCounter *deleted;
 };
 
@@ -38,9 +38,10 @@
 {
   CcTakeover *takeover;
   char *id;
-} Deletion;
+} LeaseDeletion;
 
-/* For the assigner that follows the table by F. */
+/* Creates the state of an assigner that reads the table through F, writes to
+ * PLATFORM and requests releases through VOTING. */
 CcTakeover *
 cc_takeover_new (CcPlatform *platform, CcFollower *f, CcVoting *voting)
 {
@@ -59,14 +60,15 @@
 static void
 on_deleted (CcStatus status, guint64 version, gpointer data)
 {
-  Deletion *d = data;
+  LeaseDeletion *d = data;
 
   (void) version;
   g_hash_table_remove (d->takeover->deleting, d->id);
   if (status == CC_OK)
     {
       ++*d->takeover->deleted;
-      cc_log (CC_LOG_WARNING, "takeover", "lease of %s lapsed, deleted", d->id);
+      cc_log (CC_LOG_WARNING, "takeover", "deleted the lapsed lease of %s",
+              d->id);
     }
   cc_follower_poll (d->takeover->follower);
   g_free (d->id);
@@ -78,7 +80,7 @@
 {
   CcTransaction *x = cc_transaction_new ();
   g_autofree char *member = g_strconcat ("member/", id, NULL);
-  Deletion *d = g_new0 (Deletion, 1);
+  LeaseDeletion *d = g_new0 (LeaseDeletion, 1);
 
   d->takeover = t;
   d->id = g_strdup (id);
@@ -91,7 +93,7 @@
 }
 
 static CcLeaseWatch *
-watch_of (CcTakeover *t, const char *id)
+find_watch (CcTakeover *t, const char *id)
 {
   CcLeaseWatch *w = g_hash_table_lookup (t->watches, id);
 
@@ -103,10 +105,10 @@
 }
 
 static void
-look_at (CcTakeover *t, const CcRow *row, gboolean active, gint64 now)
+check_lease (CcTakeover *t, const CcRow *row, gboolean active, gint64 now)
 {
   const char *id = row->key + strlen (LEASE);
-  CcLeaseWatch *w = watch_of (t, id);
+  CcLeaseWatch *w = find_watch (t, id);
   guint64 voters;
 
   cc_lease_watch (w, row->version, now);
@@ -117,7 +119,7 @@
 }
 
 static guint64
-voters_seen (const CcRow *lease)
+known_voters_version (const CcRow *lease)
 {
   g_autoptr (JsonNode) root = json_from_string (lease->value, NULL);
 
@@ -128,14 +130,14 @@
 }
 
 static gboolean
-all_have_seen (const CcTakeover *t, const GPtrArray *leases)
+all_know_voters (const CcTakeover *t, const GPtrArray *leases)
 {
   for (guint i = 0; i < leases->len; i++)
     {
       const CcRow *row = leases->pdata[i];
 
       if (!g_str_equal (row->key, LEASE "assign") &&
-          voters_seen (row) < t->voters_version)
+          known_voters_version (row) < t->voters_version)
         return FALSE;
     }
   return TRUE;
@@ -148,7 +150,7 @@
 
   (void) status, (void) version;
   t->writing = FALSE;
-  t->voters_version = 0; /* read it again: what was written may not stand */
+  t->voters_version = 0; /* read it again, as the write may have failed */
   cc_follower_poll (t->follower);
 }
 
@@ -185,7 +187,7 @@
 }
 
 static void
-keep_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
+update_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
 {
   g_autoptr (GPtrArray) members = NULL;
   g_autofree char *value = NULL;
@@ -195,7 +197,8 @@
     return;
   read_voters (t);
   members = list_members (t);
-  if (!all_have_seen (t, leases) || !cc_voters_update (t->voters, members, now))
+  if (!all_know_voters (t, leases) ||
+      !cc_voters_update (t->voters, members, now))
     return;
   value = cc_voters_print (t->voters);
   x = cc_transaction_new ();
@@ -205,7 +208,9 @@
   cc_platform_commit (t->platform, x, on_voters_written, t);
 }
 
-/* Looks at all leases at NOW; only the ACTIVE assigner acts. */
+/* Checks all leases at NOW.  Every assigner watches them, so that it knows
+ * their age when it becomes active; only the ACTIVE one deletes leases and
+ * changes the voters. */
 void
 cc_takeover_tick (CcTakeover *t, gboolean active, gint64 now)
 {
@@ -216,8 +221,8 @@
       const CcRow *row = leases->pdata[i];
 
       if (!g_str_equal (row->key, LEASE "assign"))
-        look_at (t, row, active, now);
+        check_lease (t, row, active, now);
     }
   if (active)
-    keep_voters (t, leases, now);
+    update_voters (t, leases, now);
 }
--- a/takeover.h
+++ b/takeover.h
@@ -1,4 +1,4 @@
-/* The assigner's care for leases: lapsed ones are deleted, voters kept. */
+/* Deletes lapsed leases and maintains the set of voters, in the assigner. */
 #ifndef CC_TAKEOVER_H
 #define CC_TAKEOVER_H
 
--- a/tenure.c
+++ b/tenure.c
@@ -1,7 +1,8 @@
-/* A dispatcher's registration: two rows, lease/ID that it renews and member/ID
- * that tells the others where it is.  An id is used once.  Who loses its lease
- * registers again under a new id, as if it were another process, so nothing
- * that was granted to the old id can come back to life with it. */
+/* A dispatcher's registration: the row lease/ID, which it renews, and the row
+ * member/ID, which gives other members its address and zone.  An id is
+ * registered once.  A dispatcher that loses its lease registers again under a
+ * new id, like a new process, so that nothing granted to the old id becomes
+ * valid again. */
 #include "tenure.h"
 
 #include <string.h>
@@ -12,7 +13,7 @@
 #include "log.h"
 #include "metrics.h"
 
-#define TICK_MS 50 /* a tenth of the renewal's period */
+#define TICK_MS 50 /* an eighth of the renewal's period */
 
 static char *
 lease_key (const CcTenure *t)
@@ -36,7 +37,7 @@
   t->drain_written = FALSE;
 }
 
-/* A tenure that is not yet registered. */
+/* Creates a registration that has not begun.  CHANGED is called with DATA. */
 CcTenure *
 cc_tenure_new (CcPlatform *platform, const char *instance, const char *zone,
                const char *address, guint64 incarnation,
@@ -55,7 +56,7 @@
   return t;
 }
 
-/* Whether the lease stands at NOW (cc_clock_now). */
+/* Whether the lease is valid at NOW (us, cc_clock_now). */
 gboolean
 cc_tenure_is_valid (const CcTenure *t, gint64 now)
 {
@@ -63,7 +64,7 @@
 }
 
 static void
-tell (CcTenure *t)
+report_state (CcTenure *t)
 {
   gboolean held = cc_tenure_is_valid (t, cc_clock_now ());
 
@@ -72,7 +73,7 @@
     return;
   t->told = held;
   cc_log (held ? CC_LOG_INFO : CC_LOG_WARNING, "lease",
-          held ? "%s holds its lease" : "%s has no lease, sends nothing",
+          held ? "lease of %s acquired" : "lease of %s lost, not sending work",
           t->id);
   t->changed (t, held, t->data);
 }
@@ -102,27 +103,28 @@
 static void
 lose_lease (CcTenure *t)
 {
-  cc_log (CC_LOG_WARNING, "lease", "%s is given up, its row is not there",
-          t->id);
+  cc_log (CC_LOG_WARNING, "lease",
+          "lease row of %s does not exist, abandoning this id", t->id);
   cc_lease_revoked (&t->lease);
-  tell (t);
+  report_state (t);
   choose_id (t);
   t->changed (t, FALSE, t->data);
 }
 
-/* Tells of a renewal, sent at SENT, that took longer than a renewal's period:
- * whether it counted, and how long the lease then lasts. */
+/* Logs a renewal, sent at SENT, that took longer than a renewal period: its
+ * RESULT and how long the lease is still valid. */
 static void
-note_slow_renewal (const CcTenure *t, gint64 sent, const char *end)
+log_slow_renewal (const CcTenure *t, gint64 sent, const char *result)
 {
   gint64 now = cc_clock_now ();
 
   if (sent == 0 || now - sent <= CC_LEASE_PERIOD)
     return;
   cc_log (CC_LOG_WARNING, "renewal",
-          "%s %s %" G_GINT64_FORMAT
-          " ms after it was sent, the lease lasts %" G_GINT64_FORMAT " ms",
-          t->id, end, (now - sent) / CC_MS,
+          "renewal of %s %s %" G_GINT64_FORMAT
+          " ms after it was sent, lease valid for another %" G_GINT64_FORMAT
+          " ms",
+          t->id, result, (now - sent) / CC_MS,
           (t->lease.valid_until - now) / CC_MS);
 }
 
@@ -137,19 +139,20 @@
     cc_lease_renewed (&t->lease, version);
   else if (status == CC_UNKNOWN || status == CC_CONFLICT)
     t->doubtful =
-        TRUE; /* the row tells: ours, an earlier write of ours, gone */
+        TRUE; /* the row has this write, an earlier one, or is deleted */
   else
     cc_lease_failed (&t->lease);
   if (status == CC_OK && t->drain_sent)
     t->drain_written = TRUE;
-  note_slow_renewal (t, sent, status == CC_OK ? "was written" : "has failed");
-  tell (t);
+  log_slow_renewal (t, sent, status == CC_OK ? "succeeded" : "failed");
+  report_state (t);
 }
 
-/* Renews the lease; the first time, and when draining begins, the member row
- * is written in the same transaction.  The row tells which voters this process
- * knows, since they change only when all know the last change; who registers
- * must know the present ones (voters.h). */
+/* Renews the lease.  The first time, and when draining begins, the member row
+ * is written in the same transaction.  The lease row contains the version of
+ * the voters' row that this process knows, because the voters change only when
+ * every dispatcher knows the previous change; the registration checks that it
+ * is the present version (voters.h). */
 static void
 write_lease (CcTenure *t, gint64 now)
 {
@@ -189,16 +192,16 @@
 }
 
 static void
-settle_doubt (CcTenure *t, GVariant *rows)
+check_row (CcTenure *t, GVariant *rows)
 {
-  g_autofree char *wanted = lease_key (t);
+  g_autofree char *own_key = lease_key (t);
   GVariantIter iter;
   const char *key, *value;
   guint64 version;
 
   g_variant_iter_init (&iter, rows);
   while (g_variant_iter_next (&iter, "(&st&s)", &key, &version, &value))
-    if (g_str_equal (key, wanted) && value[0] != '\0')
+    if (g_str_equal (key, own_key) && value[0] != '\0')
       {
         cc_lease_found (&t->lease, version, sequence_in (value));
         return;
@@ -219,8 +222,8 @@
   if (status != CC_OK)
     return;
   t->doubtful = FALSE;
-  settle_doubt (t, rows);
-  tell (t);
+  check_row (t, rows);
+  report_state (t);
 }
 
 static void
@@ -254,7 +257,7 @@
   CcTenure *t = data;
   gint64 now = cc_clock_now ();
 
-  tell (t);
+  report_state (t);
   if (t->calling || t->closed || (!t->may_register && !t->closing))
     return G_SOURCE_CONTINUE;
   if (t->closing)
@@ -272,7 +275,8 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Begins to register, and goes on trying for as long as the process lives. */
+/* Starts to register, to renew the lease, and to register again if it is lost,
+ * until the process exits. */
 void
 cc_tenure_start (CcTenure *t)
 {
@@ -280,15 +284,16 @@
   g_timeout_add (TICK_MS, on_tick, t);
 }
 
-/* Asks the assigner to hand this dispatcher's servers to others. */
+/* Requests that the assigner hand this dispatcher's servers over to others, by
+ * a flag in the member row. */
 void
 cc_tenure_drain (CcTenure *t)
 {
   t->draining = TRUE;
 }
 
-/* Gives the lease up.  To be called when nothing is in progress any more;
- * t->closed tells when it is done. */
+/* Releases the lease: the rows are deleted at the next tick.  May be called
+ * only when no request is in progress.  t->closed is set when it is done. */
 void
 cc_tenure_close (CcTenure *t)
 {
--- a/tenure.h
+++ b/tenure.h
@@ -6,28 +6,29 @@
 #include "platform.h"
 
 typedef struct CcTenure CcTenure;
-/* The lease was gained, or lost (the id is then another). */
+/* Called when the lease is gained or lost; after a loss also when a new id is
+ * chosen. */
 typedef void (*CcTenureChanged) (CcTenure *t, gboolean held, gpointer data);
 
 struct CcTenure
 {
-  char *id; /* INSTANCE.INCARNATION.COUNT, never used twice */
+  char *id; /* INSTANCE.INCARNATION.COUNT, never registered twice */
   char *instance;
   char *zone;
   char *address; /* of the mailbox */
   guint64 incarnation;
   guint count; /* how many ids this process has had */
   CcLease lease;
-  gboolean may_register;  /* the view is fresh enough to register */
+  gboolean may_register;  /* the view of the table is recent enough */
   guint64 voters_version; /* version of the newest voters' row in the view */
   gboolean calling;       /* a call to the platform is in progress */
-  gboolean doubtful;      /* a write's answer was lost: read before the next */
-  gboolean draining;      /* hand everything over */
-  gboolean drain_sent;    /* the write in progress, or the last, says so */
-  gboolean drain_written;
-  gboolean closing; /* the rows are to be deleted */
-  gboolean closed;  /* they are, or could not be */
-  gboolean told;    /* what CHANGED was last told */
+  gboolean doubtful;   /* a write's result is uncertain: read before the next */
+  gboolean draining;   /* hand all servers over to other dispatchers */
+  gboolean drain_sent; /* the last write that was sent reported it */
+  gboolean drain_written; /* a write that reported it succeeded */
+  gboolean closing;       /* the rows are to be deleted */
+  gboolean closed;        /* the deletion was tried */
+  gboolean told;          /* the state last reported through CHANGED */
   CcPlatform *platform;
   CcTenureChanged changed;
   gpointer data;
--- a/test/test_tenure.c
+++ b/test/test_tenure.c
@@ -1,5 +1,6 @@
-/* What a dispatcher tells the table of itself, against a table on loopback that
- * answers when the test says so. */
+/* Guards against a registration row that lacks the state which other members
+ * need.  The table is a server on loopback that delays its answers as long as
+ * the test requires. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,15 +16,15 @@
 
 #define PORT 7000
 #define TURN_MS 5
-#define TURNS_MAX 2000 /* a test that waits longer hangs */
+#define TURNS_MAX 2000 /* a test that waits longer has failed */
 
 static struct
 {
   SoupServer *server;
   char *address, *source;
-  SoupServerMessage *held; /* a transaction that waits for its answer */
+  SoupServerMessage *held; /* a transaction whose answer is delayed */
   guint64 version;
-  gboolean tells_draining; /* the member row says so */
+  gboolean draining_written; /* a written member row had "draining" */
 } table;
 
 static void
@@ -47,7 +48,7 @@
       g_strndup (g_bytes_get_data (body, NULL), g_bytes_get_size (body));
 
   (void) server, (void) path, (void) query, (void) data;
-  table.tells_draining |= strstr (text, "\\\"draining\\\":true") != NULL;
+  table.draining_written |= strstr (text, "\\\"draining\\\":true") != NULL;
   assert_null (table.held);
   table.held = g_object_ref (m);
   soup_server_message_pause (m);
@@ -61,7 +62,7 @@
 }
 
 static void
-turn (void)
+run_turn (void)
 {
   gboolean over = FALSE;
 
@@ -74,7 +75,7 @@
 await_transaction (void)
 {
   for (guint i = 0; i < TURNS_MAX && table.held == NULL; i++)
-    turn ();
+    run_turn ();
   assert_non_null (table.held);
 }
 
@@ -99,10 +100,10 @@
   (void) t, (void) held, (void) data;
 }
 
-/* Guards against a drained dispatcher that hands nothing over, since the answer
- * to a renewal sent before passed for that to its own word. */
+/* Guards against a drained dispatcher that hands nothing over: the answer to a
+ * renewal sent before the drain was taken for that to the row with the flag. */
 static void
-drain_is_told_though_a_renewal_is_under_way (void **state)
+drain_is_written_despite_a_renewal_in_progress (void **state)
 {
   CcPlatform *p = cc_platform_new (table.address, table.source, CC_SECOND);
   CcTenure *t = cc_tenure_new (p, "i1", "a", table.source, 1, on_tenure, NULL);
@@ -115,19 +116,19 @@
   await_transaction ();
   cc_tenure_drain (t);
   answer_held ();
-  for (guint i = 0; i < 4 && !table.tells_draining; i++)
+  for (guint i = 0; i < 4 && !table.draining_written; i++)
     {
       await_transaction ();
       answer_held ();
     }
-  assert_true (table.tells_draining);
+  assert_true (table.draining_written);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (drain_is_told_though_a_renewal_is_under_way),
+    cmocka_unit_test (drain_is_written_despite_a_renewal_in_progress),
   };
 
   return cmocka_run_group_tests (tests, start, NULL);
