--- a/holding.c
+++ b/holding.c
@@ -1,29 +1,33 @@
-/* The aggregate of one held server, without network or clock.
+/* The state of one held server, without network or clock.  It must prevent that
+ * two servers run requests for the same slice, also when a server is frozen and
+ * resumes later.
  *
- * It answers two questions.  May an attempt for a slice leave now?  Only if
- * the slice is owned and settled and, where servers check grants, the server
- * has acknowledged the grant and still honours it.  Has everything that a map
- * version took away stopped?  That is what lets another server begin, so it
- * must not be said too early:
+ * An attempt for a slice may be sent if the slice is owned, its move is
+ * complete and, if the server checks grants, the server has acknowledged a
+ * grant that is still valid.
+ *
+ * Another server may begin with a slice when all work for it has stopped here,
+ * which must not be reported too early:
  *
  *  - attempts at the server for slices taken away have ended; and
- *  - servers that check grants have acknowledged a list without them, so that
- *    an attempt still in a frozen server's buffers will be refused; or, if the
- *    server is silent, its last grant has lapsed by its own clock;
- *  - servers that don't check are asked nothing: an attempt that ended without
- *    an answer may be inside.  Work that was begun before a freeze takes effect
- *    on waking, whatever its deadline, so the slices of a silent server with
- *    such an attempt stay with it until it answers again and has had time to
- *    end its work, or the platform doesn't list it any more.  This costs time
- *    in which its keys are unavailable; anything else costs a second owner.
+ *  - a server that checks grants has acknowledged a list without these slices,
+ *    so that it rejects attempts that are still in its receive buffers; or, if
+ *    it does not answer, its last grant has expired by its own clock;
+ *  - a server that doesn't check grants may still run an attempt that ended
+ *    without an answer.  Work that was begun before a freeze takes effect after
+ *    it, whatever its deadline.  The slices of a silent server with such an
+ *    attempt therefore stay with it until it answers again and has had time to
+ *    end its work, or until the platform doesn't list it.  Meanwhile its keys
+ *    are unavailable; moving them earlier would give them two owners.
  */
 #include "holding.h"
 
-/* A server just taken on at NOW.  It is given less time than later to answer,
- * and with that only one grant: each grant has to lapse before its slices can
- * be served elsewhere, and a zone that is cut off takes its servers along.
- * QUIET_AT (wall clock) is when no attempt of an earlier dispatcher can be
- * inside any more. */
+/* Creates the state of a server S of POOL that this dispatcher holds since NOW.
+ * It is lost after CC_SERVER_SUSPECT without a first answer, sooner than later
+ * on, and gets only one grant until then: each grant has to expire before the
+ * slices can be served elsewhere, and a zone that is cut off may contain both
+ * the previous holder and the server.  QUIET_AT (wall clock) is when all
+ * attempts of earlier dispatchers have ended; 0 if there were none. */
 CcHolding *
 cc_holding_new (const char *pool, const CcMapServer *s, gboolean checks_grants,
                 gint64 now, gint64 quiet_at)
@@ -36,10 +40,10 @@
   h->checks_grants = checks_grants;
   h->slices = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   h->answered = now - (CC_SERVER_LOST_AFTER - CC_SERVER_SUSPECT);
-  h->grant_sent = now; /* a predecessor may have sent one up to now */
+  h->grant_sent = now; /* the previous holder may have sent one until now */
   h->quiet_at = quiet_at;
   h->unconfirmed = quiet_at > 0;
-  h->alive_since = now;
+  h->answering_since = now;
   h->serial = 1;
   return h;
 }
@@ -55,14 +59,14 @@
   g_hash_table_unref (h->slices);
 }
 
-/* Another reference to H, for an attempt that outlives its place in a table. */
+/* Takes a reference to H, for an attempt that may outlast H's table entry. */
 CcHolding *
 cc_holding_ref (CcHolding *h)
 {
   return g_rc_box_acquire (h);
 }
 
-/* Gives a reference to H back. */
+/* Releases a reference to H. */
 void
 cc_holding_unref (CcHolding *h)
 {
@@ -70,15 +74,15 @@
 }
 
 static CcHeldSlice *
-held (const CcHolding *h, guint slice)
+find_slice (const CcHolding *h, guint slice)
 {
   return g_hash_table_lookup (h->slices, GUINT_TO_POINTER (slice));
 }
 
 static void
-take_slice (CcHolding *h, guint slice, guint64 epoch)
+add_slice (CcHolding *h, guint slice, guint64 epoch)
 {
-  CcHeldSlice *s = held (h, slice);
+  CcHeldSlice *s = find_slice (h, slice);
 
   if (s == NULL)
     {
@@ -94,9 +98,9 @@
 }
 
 static void
-leave_slice (CcHolding *h, guint slice)
+release_slice (CcHolding *h, guint slice)
 {
-  CcHeldSlice *s = held (h, slice);
+  CcHeldSlice *s = find_slice (h, slice);
 
   if (s == NULL)
     return;
@@ -108,7 +112,7 @@
 }
 
 static void
-new_term (CcHolding *h, guint64 term)
+set_term (CcHolding *h, guint64 term)
 {
   GHashTableIter iter;
   gpointer s;
@@ -123,8 +127,8 @@
     ((CcHeldSlice *) s)->granted = FALSE;
 }
 
-/* Takes in map M, in which the server stands at index SERVER and ME is this
- * dispatcher's id. */
+/* Applies map M, in which the server has index SERVER; ME is this dispatcher's
+ * id.  A map that is not newer than the last one is ignored. */
 void
 cc_holding_update (CcHolding *h, const CcSliceMap *m, gint32 server,
                    const char *me)
@@ -138,57 +142,58 @@
   h->handing_over = g_str_equal (s->from, me);
   h->active = g_str_equal (s->dispatcher, me) && s->from[0] == '\0';
   if (h->active)
-    new_term (h, s->term);
+    set_term (h, s->term);
   for (guint i = 0; i < cc_slicemap_units (m); i++)
     {
       const CcMapSlice *one = cc_slicemap_at (m, i);
 
       if (h->active && one->server == server && one->from < 0)
-        take_slice (h, i, one->epoch);
+        add_slice (h, i, one->epoch);
       else
-        leave_slice (h, i);
+        release_slice (h, i);
     }
 }
 
-/* Whether requests for SLICE are to be accepted and queued. */
+/* Whether requests for SLICE may be accepted and queued. */
 gboolean
 cc_holding_owns (const CcHolding *h, guint slice)
 {
-  const CcHeldSlice *s = held (h, slice);
+  const CcHeldSlice *s = find_slice (h, slice);
 
   return h->active && s != NULL && s->owned;
 }
 
-/* Whether an attempt for SLICE may leave at NOW.  The dispatcher's own lease
- * is asked apart. */
+/* Whether an attempt for SLICE may be sent at NOW.  The caller checks the
+ * dispatcher's own lease separately. */
 gboolean
 cc_holding_may_send (const CcHolding *h, guint slice, gint64 now)
 {
-  const CcHeldSlice *s = held (h, slice);
+  const CcHeldSlice *s = find_slice (h, slice);
 
   if (!h->active || h->lost || s == NULL || !s->owned)
     return FALSE;
   return !h->checks_grants || (s->granted && now < h->granted_until);
 }
 
-/* Notes an attempt that leaves. */
+/* Records that an attempt for SLICE, which must be held, is sent. */
 void
 cc_holding_sent (CcHolding *h, guint slice)
 {
-  CcHeldSlice *s = held (h, slice);
+  CcHeldSlice *s = find_slice (h, slice);
 
   s->running++;
   h->running++;
 }
 
-/* Notes the end of an attempt with DEADLINE (wall clock).  Without an answer it
- * may still be inside the server: then its deadline is waited for before the
- * slice may begin elsewhere.  Answered attempts are not, or a busy server that
- * doesn't check grants would never be quiet and its slices never move. */
+/* Records the end of an attempt with DEADLINE (wall clock).  The server may
+ * still run an attempt that was not ANSWERED, so its deadline must pass before
+ * the slice may be served elsewhere.  Deadlines of answered attempts don't
+ * count; otherwise the slices of a busy server that doesn't check grants could
+ * never move. */
 void
 cc_holding_done (CcHolding *h, guint slice, gint64 deadline, gboolean answered)
 {
-  CcHeldSlice *s = held (h, slice);
+  CcHeldSlice *s = find_slice (h, slice);
 
   h->running--;
   if (!answered)
@@ -198,25 +203,26 @@
       h->unconfirmed = TRUE;
     }
   if (--s->running == 0 && !s->owned)
-    leave_slice (h, slice);
+    release_slice (h, slice);
 }
 
-/* Whether a grant may be sent at NOW.  To a suspect server none is: the last
- * one has to lapse before its slices can be served elsewhere. */
+/* Whether a grant may be sent at NOW.  A suspect server gets none, because its
+ * last grant has to expire before its slices can be served elsewhere. */
 gboolean
 cc_holding_may_grant (const CcHolding *h, gint64 now)
 {
   return h->active && now < h->answered + CC_SERVER_SUSPECT;
 }
 
-/* Notes that a grant leaves at NOW. */
+/* Records that a grant is sent at NOW. */
 void
 cc_holding_grant_sent (CcHolding *h, gint64 now)
 {
   h->grant_sent = now;
 }
 
-/* The server acknowledged the list SERIAL of a grant sent at SENT. */
+/* Handles the server's acknowledgement of a grant with list SERIAL, sent at
+ * SENT. */
 void
 cc_holding_grant_acked (CcHolding *h, guint64 serial, gint64 sent)
 {
@@ -232,29 +238,30 @@
     ((CcHeldSlice *) s)->granted = TRUE;
 }
 
-/* The server answered something at NOW: it is there. */
+/* Records that the server answered a grant, a probe or a request at NOW. */
 void
 cc_holding_answered (CcHolding *h, gint64 now)
 {
   if (now >= h->answered + CC_SERVER_SUSPECT)
-    h->alive_since = now;
+    h->answering_since = now;
   h->answered = MAX (h->answered, now);
   h->stalled_for = 0;
 }
 
-/* This process stood still for SPAN us.
+/* Records that this process was paused for SPAN us, by which the silence limit
+ * of the server is extended.
  *
- * Failure: it judges servers by the answers that it did not read meanwhile.
- * Symptom: all its servers are lost at once, and what they ran is told unknown,
- * although the answers lie in its sockets.  Only the judgement waits: grants
- * lapse by the clock, and a server counts as lively by its answers alone. */
+ * Without this, all its servers would be classified as lost after the pause and
+ * their attempts reported as unknown, although their answers are in the receive
+ * buffers.  Only the loss is delayed: grants expire by the clock, and whether a
+ * server responds again depends on its answers alone. */
 void
 cc_holding_add_stall (CcHolding *h, gint64 span)
 {
   h->stalled_for += span;
 }
 
-/* Judges at NOW whether the server is lost.  Returns TRUE if that changed. */
+/* Updates at NOW whether the server is lost.  Returns TRUE if that changed. */
 gboolean
 cc_holding_update_lost (CcHolding *h, gint64 now)
 {
@@ -267,7 +274,7 @@
 }
 
 static gboolean
-has_leftovers (const CcHolding *h)
+has_running_unowned (const CcHolding *h)
 {
   GHashTableIter iter;
   gpointer s;
@@ -279,41 +286,42 @@
   return FALSE;
 }
 
-/* Whether the server is silent and its slices may be served elsewhere. */
+/* Whether the server is lost and its slices may be served elsewhere. */
 gboolean
 cc_holding_is_lost (const CcHolding *h)
 {
   return h->lost && (h->checks_grants || !h->unconfirmed);
 }
 
-/* Ends the doubt about unanswered attempts.  An answer from before their
- * deadlines passed proves nothing: the server may have frozen just after it,
- * with an attempt inside that takes effect when it wakes. */
+/* Clears the mark of unconfirmed attempts when they have certainly ended.  An
+ * answer from before their deadlines does not show this: the server may have
+ * been frozen just after it, with an attempt that takes effect when it resumes.
+ */
 static void
-settle (CcHolding *h, gint64 now, gint64 wall)
+confirm_ended (CcHolding *h, gint64 now, gint64 wall)
 {
-  gboolean lively;
+  gboolean responsive;
 
   if (!h->unconfirmed || wall < h->quiet_at)
     return;
   if (h->quiet_since == 0)
     h->quiet_since = now;
-  lively = h->answered > h->quiet_since &&
-           now < h->answered + CC_SERVER_SUSPECT &&
-           now >= h->alive_since + CC_SERVER_SETTLE;
-  if (lively || h->gone)
+  responsive = h->answered > h->quiet_since &&
+               now < h->answered + CC_SERVER_SUSPECT &&
+               now >= h->answering_since + CC_SERVER_SETTLE;
+  if (responsive || h->gone)
     h->unconfirmed = FALSE;
 }
 
-/* The newest map version of which everything that it took from this server
- * has certainly stopped; 0 if that can't be said yet. */
+/* The newest map version, if all work that it took from this server has
+ * certainly stopped at NOW (WALL by the wall clock); 0 if not. */
 guint64
 cc_holding_applied (CcHolding *h, gint64 now, gint64 wall)
 {
   gboolean fenced;
 
-  settle (h, now, wall);
-  if (has_leftovers (h))
+  confirm_ended (h, now, wall);
+  if (has_running_unowned (h))
     return 0;
   if (h->handing_over)
     return h->running == 0 ? h->map_version : 0;
--- a/holding.h
+++ b/holding.h
@@ -1,35 +1,39 @@
-/* One server that this dispatcher holds: what may be sent to it, and when
- * everything that had to stop has stopped. */
+/* The state of one server that this dispatcher holds: which requests may be
+ * sent to it, and whether all work that a map version took away from it has
+ * ended. */
 #ifndef CC_HOLDING_H
 #define CC_HOLDING_H
 
 #include "slicemap.h"
 
-/* How long a server honours a grant, from when it was sent: the grant carries
- * its end by the wall clock, and the server takes the earlier of that and this
- * span from its receipt.  Receipt alone is not enough: a grant that waited in
- * the buffers of a frozen server would let it run, on waking, what was sent
- * with it, while its slices are another's.  Below the lease's term, so that a
- * server cut off from its dispatcher has stopped before anybody takes over. */
+/* How long a grant is valid, from when it was sent.  The grant contains its end
+ * as wall clock time, and the server uses the earlier of that and this duration
+ * from its receipt.  The receipt alone is not enough: a frozen server that
+ * resumes would accept a grant from its receive buffer, and with it requests
+ * that were sent together, although its slices were moved to another server.
+ * Shorter than the lease's term, so that a server cut off from its dispatcher
+ * has stopped before the lease can be taken over. */
 #define CC_GRANT_TTL (1200 * CC_MS)
-#define CC_GRANT_PERIOD (300 * CC_MS) /* four in a grant's life */
+#define CC_GRANT_PERIOD (300 * CC_MS) /* four grants in the TTL */
 
-/* No answer for this long: grants are no longer renewed, only probed for. */
+/* After this long without an answer, no grants are sent, only probes. */
 #define CC_SERVER_SUSPECT (700 * CC_MS)
-/* No answer for this long: the server is lost, its slices go elsewhere. */
+/* After this long without an answer, the server is lost and its slices are
+ * assigned to others. */
 #define CC_SERVER_LOST_AFTER (1000 * CC_MS)
-/* A server that doesn't check grants, and answers again, has by then ended what
- * it had begun: the longest deadline of today's classes of such pools. */
+/* How long a server that doesn't check grants must answer again until all work
+ * that it had begun has ended: the longest deadline of any class of such a
+ * pool. */
 #define CC_SERVER_SETTLE (3 * CC_SECOND)
-/* The end of a grant is compared on the server's wall clock. */
+/* The end of a grant is compared with the server's wall clock. */
 #define CC_GRANT_MARGIN CC_SKEW_MAX
 
 typedef struct
 {
   guint64 epoch;
-  gboolean owned;   /* new work may be accepted */
-  gboolean granted; /* the server has acknowledged it */
-  guint running;    /* attempts at the server */
+  gboolean owned;   /* new requests may be accepted */
+  gboolean granted; /* the server has acknowledged a grant of it */
+  guint running;    /* attempts in progress at the server */
 } CcHeldSlice;
 
 typedef struct
@@ -39,24 +43,25 @@
   char *address;
   guint64 term;
   gboolean active;       /* this dispatcher may send to it */
-  gboolean handing_over; /* another waits until this one has stopped */
+  gboolean handing_over; /* another dispatcher waits for this one to stop */
   gboolean checks_grants;
   gboolean keeps;       /* served on without a lease, cut_off.c */
   GHashTable *slices;   /* slice to CcHeldSlice */
-  guint64 map_version;  /* the newest map that was taken in */
+  guint64 map_version;  /* of the newest map that was applied */
   guint64 serial;       /* counts changes of the list of granted slices */
   guint64 acked_serial; /* newest list that the server acknowledged */
-  gint64 granted_until; /* it honours the grant at least until then, us */
-  gint64 grant_sent;    /* last time a grant was sent, us; 0: never */
-  gint64 answered;      /* last answer to a grant or a probe, us */
-  gint64 stalled_for; /* since then this process stood still for so long, us */
-  gboolean unconfirmed; /* an unanswered attempt may be inside the server */
-  gint64 quiet_at;      /* wall clock: the deadlines of those are past */
-  gint64 quiet_since;   /* that was first seen then, us; 0: it was not yet */
-  gint64 alive_since;   /* it has answered without a silence since then, us */
-  gboolean gone;        /* the platform doesn't list it any more */
-  guint running;        /* attempts at the server, all slices */
-  gboolean lost;        /* judged silent */
+  gint64 granted_until; /* its grant is valid at least until then, us */
+  gint64 grant_sent;    /* when the last grant was sent, us; 0: never */
+  gint64 answered;      /* when it last answered anything, us */
+  gint64 stalled_for;   /* how long this process was paused since then, us */
+  gboolean unconfirmed; /* it may still run an unanswered attempt */
+  gint64 quiet_at;      /* wall clock: the deadlines of those have passed, us */
+  gint64 quiet_since;   /* when that was first detected, us; 0: not yet */
+  gint64 answering_since; /* start of its answers without a longer silence than
+                             CC_SERVER_SUSPECT, us */
+  gboolean gone;          /* the platform doesn't list it */
+  guint running;          /* attempts in progress at the server, all slices */
+  gboolean lost;          /* it has not answered for CC_SERVER_LOST_AFTER */
 } CcHolding;
 
 CcHolding *cc_holding_new (const char *pool, const CcMapServer *s,
--- a/tenure.c
+++ b/tenure.c
@@ -138,8 +138,7 @@
   if (status == CC_OK)
     cc_lease_renewed (&t->lease, version);
   else if (status == CC_UNKNOWN || status == CC_CONFLICT)
-    t->doubtful =
-        TRUE; /* the row has this write, an earlier one, or is deleted */
+    t->doubtful = TRUE; /* the row shows what was written, if any */
   else
     cc_lease_failed (&t->lease);
   if (status == CC_OK && t->drain_sent)
