--- a/outcome.c
+++ b/outcome.c
@@ -1,32 +1,34 @@
-/* At most once across repeats, with memory only.
+/* Runs a request at most once, however often it is repeated, with records in
+ * memory only.
  *
- * A caller repeats with the same Idempotency-Key.  While this process lives it
- * remembers the key and gives the same outcome again.  The hard case is the
- * repeat that arrives after the process that ran it was lost: its successor
- * has no memory.  So the key carries its time of creation (a UUID of version
- * 7, RFC 9562), and the successor keeps a *horizon* for each slice: the time
- * from which on it has seen every attempt.  A key made before the horizon (plus
- * CC_SKEW_MAX, by which its maker's clock may be ahead) may have run under a
- * predecessor: it is not run, and its outcome is said to be unknown.
+ * A caller repeats a request with the same Idempotency-Key.  While this process
+ * runs, it keeps a record of the key and answers with the same outcome.  The
+ * difficult case is a repeat after the process that ran the request was lost,
+ * because its successor has no records.  So the key contains its creation time
+ * (a UUID of version 7, RFC 9562), and the successor has a *horizon* for each
+ * slice: the time from which on it has a record of every attempt.  A key
+ * created before the horizon (plus CC_SKEW_MAX, by which the clock of the
+ * caller may be ahead) may have run under a predecessor: it is not run, and its
+ * outcome is reported as unknown.
  *
- * Forgetting an outcome, for its age or for want of room, raises the horizon
- * in the same way, so no path leads from "forgotten" to "run again".  The two
- * are kept apart, since a predecessor's memory that arrives whole lowers the
- * first (outcome_transfer.h) and must not touch the second.  A key
- * whose time is ahead of ours by more than the skew is refused: it would
- * outlive a horizon that it should have fallen behind.
+ * Evicting a record, for its age or for lack of capacity, raises the horizon in
+ * the same way, so a request whose record was evicted is never run again.  The
+ * two horizons are kept separately: the predecessor's records, if they arrive
+ * complete (outcome_transfer.h), lower the first but must not lower the second.
+ * A key whose time is ahead of the local clock by more than CC_SKEW_MAX is
+ * rejected: it would be later than a horizon that should exclude it.
  */
 #include "outcome.h"
 
 #include <string.h>
 
 #define UUID_LENGTH 36
-#define BODY_KEPT_MAX (64 * 1024) /* larger answers are remembered without */
+#define BODY_KEPT_MAX (64 * 1024) /* of larger answers the body is not kept */
 
 typedef struct
 {
-  gint64 taken;   /* attempts made before by others are not known here; us */
-  gint64 evicted; /* an outcome was forgotten whose key is older; us */
+  gint64 taken; /* earlier attempts by other holders have no record here; us */
+  gint64 evicted; /* the keys of all evicted records are older; us */
   GQueue entries; /* of Entry */
 } Slice;
 
@@ -35,7 +37,7 @@
   char *name; /* "pool/slice/id" */
   char *id;
   Slice *slice;
-  gint64 wall; /* time in the key */
+  gint64 wall; /* time in the key, us since 1970 */
   gboolean done;
   CcOutcomeRecord kept; /* if done */
   GList link;           /* in the list by arrival */
@@ -76,7 +78,7 @@
   return g_strdup_printf ("%s/%u/%s", pool, slice, id);
 }
 
-/* An empty memory, without horizons. */
+/* Creates an empty table of outcomes.  The caller frees it. */
 CcOutcomes *
 cc_outcomes_new (void)
 {
@@ -90,7 +92,7 @@
   return o;
 }
 
-/* Keeps at most COUNT outcomes, and BYTES of answers among them. */
+/* Limits the table to COUNT outcomes and BYTES of their answers' bodies. */
 void
 cc_outcomes_set_limits (CcOutcomes *o, guint count, gsize bytes)
 {
@@ -123,7 +125,7 @@
 }
 
 /* Reads the time in KEY, a UUID of version 7, into *WALL (us since 1970).
- * Returns FALSE if KEY is none. */
+ * Returns FALSE if KEY is not such a UUID. */
 gboolean
 cc_idempotency_time (const char *key, gint64 *wall)
 {
@@ -138,7 +140,8 @@
   return TRUE;
 }
 
-/* The slice, made without knowledge of any attempt in it if it is new. */
+/* The state of SLICE.  If there is none, it is created with the latest possible
+ * horizon, as nothing is known of the attempts in it. */
 static Slice *
 find_slice (CcOutcomes *o, const char *pool, guint slice)
 {
@@ -154,11 +157,12 @@
   return s;
 }
 
-/* At WALL the slice was taken over from others, whose attempts this memory has
- * not seen; FIRST_EVER if there were none.  A predecessor whose clock was ahead
- * of ours took keys whose makers' clocks were ahead of its own, so both bounds
- * add up: with the callers' alone, such a key was run again here once our clock
- * had reached it. */
+/* Sets the horizon of a slice that was taken over at WALL from others, whose
+ * attempts have no records here; with FIRST_EVER there were no others.  The
+ * predecessor's clock may have been ahead of the local one, and the clocks of
+ * its callers ahead of that, so both bounds are added.  With CC_SKEW_MAX alone,
+ * such a key would be run again here once the local clock had reached its time.
+ */
 void
 cc_outcomes_take_over (CcOutcomes *o, const char *pool, guint slice,
                        gint64 wall, gboolean first_ever)
@@ -168,8 +172,9 @@
   s->taken = first_ever ? 0 : wall + CC_SKEW_MAX + CC_INSTANCE_SKEW_MAX;
 }
 
-/* The memory of all who had the slice before has arrived whole: what they
- * didn't remember lies before HORIZON.  What was forgotten here stays so. */
+/* Lowers the horizon of a slice to HORIZON, after the records of all previous
+ * holders have arrived complete: what they have no record of is older than
+ * HORIZON.  The horizon of records that were evicted here stays. */
 void
 cc_outcomes_lower_horizon (CcOutcomes *o, const char *pool, guint slice,
                            gint64 horizon)
@@ -185,7 +190,8 @@
   return MAX (s->taken, s->evicted);
 }
 
-/* From when on (us since 1970) every attempt in the slice is known. */
+/* The time (us since 1970) from which on every attempt in the slice has a
+ * record. */
 gint64
 cc_outcomes_horizon (CcOutcomes *o, const char *pool, guint slice)
 {
@@ -193,7 +199,7 @@
 }
 
 static void
-drop (CcOutcomes *o, Entry *e)
+remove_entry (CcOutcomes *o, Entry *e)
 {
   g_queue_unlink (&o->by_age, &e->link);
   g_queue_unlink (&e->slice->entries, &e->in_slice);
@@ -202,7 +208,8 @@
   g_hash_table_remove (o->entries, e->name);
 }
 
-/* Forgets the oldest finished entry and raises its slice's horizon past it. */
+/* Removes the oldest finished entry and raises its slice's horizon past it.
+ * Returns FALSE if there is none. */
 static gboolean
 evict_oldest (CcOutcomes *o)
 {
@@ -214,7 +221,7 @@
   if (e == NULL)
     return FALSE;
   e->slice->evicted = MAX (e->slice->evicted, e->wall + CC_MS);
-  drop (o, e);
+  remove_entry (o, e);
   return TRUE;
 }
 
@@ -230,17 +237,18 @@
     }
 }
 
-/* What to do with a request whose Idempotency-Key is ID, at WALL.  With
- * CC_REPEAT_DONE, *FOUND is its outcome, valid until the next call. */
+/* Looks up at WALL a request with Idempotency-Key ID and returns what to do
+ * with it.  With CC_REPEAT_DONE, *FOUND is its outcome, valid until the next
+ * call. */
 CcRepeat
 cc_outcomes_lookup (CcOutcomes *o, const char *pool, guint slice,
                     const char *id, gint64 wall, const CcOutcomeRecord **found)
 {
   g_autofree char *name = entry_name (pool, slice, id);
   Entry *e;
-  gint64 made;
+  gint64 created;
 
-  if (!cc_idempotency_time (id, &made))
+  if (!cc_idempotency_time (id, &created))
     return CC_REPEAT_MALFORMED;
   expire (o, wall);
   e = g_hash_table_lookup (o->entries, name);
@@ -251,16 +259,17 @@
       *found = &e->kept;
       return CC_REPEAT_DONE;
     }
-  /* The horizon first: a key that is ahead of our clock may have been in time
-   * by a predecessor's, and "ahead" is answered with not-run. */
-  if (made < cc_outcomes_horizon (o, pool, slice))
+  /* The horizon is checked first: a key that is ahead of the local clock may
+   * not have been ahead of a predecessor's and may have run there, but
+   * CC_REPEAT_AHEAD is answered with not-run. */
+  if (created < cc_outcomes_horizon (o, pool, slice))
     return CC_REPEAT_TOO_OLD;
-  return made > wall + CC_SKEW_MAX ? CC_REPEAT_AHEAD : CC_REPEAT_NEW;
+  return created > wall + CC_SKEW_MAX ? CC_REPEAT_AHEAD : CC_REPEAT_NEW;
 }
 
 static Entry *
 add_entry (CcOutcomes *o, const char *pool, guint slice, const char *id,
-           gint64 made)
+           gint64 created)
 {
   Entry *e = g_new0 (Entry, 1);
 
@@ -269,7 +278,7 @@
   e->name = entry_name (pool, slice, id);
   e->id = g_strdup (id);
   e->slice = find_slice (o, pool, slice);
-  e->wall = made;
+  e->wall = created;
   e->link.data = e->in_slice.data = e;
   g_queue_push_tail_link (&o->by_age, &e->link);
   g_queue_push_tail_link (&e->slice->entries, &e->in_slice);
@@ -277,20 +286,21 @@
   return e;
 }
 
-/* Notes that the first attempt of ID begins.  Must follow CC_REPEAT_NEW. */
+/* Adds a record of ID, whose first attempt begins.  Must follow a lookup that
+ * returned CC_REPEAT_NEW. */
 void
 cc_outcomes_start (CcOutcomes *o, const char *pool, guint slice, const char *id,
                    gint64 wall)
 {
-  gint64 made = 0;
+  gint64 created = 0;
 
   expire (o, wall);
-  cc_idempotency_time (id, &made);
-  add_entry (o, pool, slice, id, made);
+  cc_idempotency_time (id, &created);
+  add_entry (o, pool, slice, id, created);
 }
 
 static void
-keep (CcOutcomes *o, Entry *e, const CcOutcomeRecord *r)
+save_outcome (CcOutcomes *o, Entry *e, const CcOutcomeRecord *r)
 {
   e->done = TRUE;
   e->kept.outcome = r->outcome;
@@ -305,7 +315,7 @@
     ;
 }
 
-/* The attempt of ID ended in R, which is copied. */
+/* Records R, which is copied, as the outcome of the attempt of ID. */
 void
 cc_outcomes_finish (CcOutcomes *o, const char *pool, guint slice,
                     const char *id, const CcOutcomeRecord *r)
@@ -314,27 +324,27 @@
   Entry *e = g_hash_table_lookup (o->entries, name);
 
   if (e != NULL && !e->done)
-    keep (o, e, r);
+    save_outcome (o, e, r);
 }
 
-/* Takes in another holder's memory of ID.  What is known here stays.  Returns
- * FALSE if ID is no idempotency key. */
+/* Adds another holder's record R of ID, unless there is one here already.
+ * Returns FALSE if ID is no idempotency key. */
 gboolean
 cc_outcomes_import (CcOutcomes *o, const char *pool, guint slice,
                     const char *id, const CcOutcomeRecord *r)
 {
   g_autofree char *name = entry_name (pool, slice, id);
-  gint64 made;
+  gint64 created;
 
-  if (!cc_idempotency_time (id, &made))
+  if (!cc_idempotency_time (id, &created))
     return FALSE;
   if (g_hash_table_lookup (o->entries, name) == NULL)
-    keep (o, add_entry (o, pool, slice, id, made), r);
+    save_outcome (o, add_entry (o, pool, slice, id, created), r);
   return TRUE;
 }
 
-/* Calls EACH for every outcome of the slice, oldest first; what is still under
- * way counts as unknown. */
+/* Calls EACH for every outcome of the slice, oldest first.  Attempts that are
+ * still in progress count as unknown. */
 void
 cc_outcomes_each (CcOutcomes *o, const char *pool, guint slice,
                   CcOutcomeEach each, gpointer data)
@@ -350,7 +360,8 @@
     }
 }
 
-/* The attempt of ID certainly did not run: a repeat may. */
+/* Removes the record of ID, whose attempt certainly did not run, so that a
+ * repeat may run. */
 void
 cc_outcomes_remove (CcOutcomes *o, const char *pool, guint slice,
                     const char *id)
@@ -359,12 +370,12 @@
   Entry *e = g_hash_table_lookup (o->entries, name);
 
   if (e != NULL)
-    drop (o, e);
+    remove_entry (o, e);
 }
 
-/* UNIT begins with all that is known of SLICE, which it was a part of, and with
- * its horizon, whatever UNIT was before.  Names are copied first: taking in one
- * entry may drop others for want of room. */
+/* Copies all records of SLICE and its horizon to UNIT, which was a part of it,
+ * whatever horizon UNIT had before.  The ids are copied first, because
+ * importing one entry may evict others for lack of capacity. */
 void
 cc_outcomes_inherit (CcOutcomes *o, const char *pool, guint slice, guint unit)
 {
@@ -394,7 +405,7 @@
   find_slice (o, pool, unit)->taken = horizon_of (from);
 }
 
-/* How many outcomes are remembered. */
+/* How many outcomes have a record. */
 guint
 cc_outcomes_count (const CcOutcomes *o)
 {
--- a/outcome.h
+++ b/outcome.h
@@ -1,26 +1,28 @@
-/* What became of recent once-only requests, so that a repeat is not run. */
+/* Records the outcomes of recent requests with an Idempotency-Key, so that a
+ * repeat is not run again. */
 #ifndef CC_OUTCOME_H
 #define CC_OUTCOME_H
 
 #include "capercrank.h"
 
-/* How long an outcome is remembered.  Callers repeat within minutes. */
+/* How long an outcome is kept.  Callers repeat a request within minutes. */
 #define CC_OUTCOME_RETENTION (10 * 60 * CC_SECOND)
 
-/* Outcomes kept at most, and bytes of answers among them. */
+/* Most outcomes kept, and most bytes of their answers' bodies. */
 #define CC_OUTCOMES_MAX 50000
 #define CC_OUTCOME_BYTES_MAX (32 * 1024 * 1024)
 
 typedef enum
 {
-  CC_REPEAT_NEW,      /* never seen: run it */
-  CC_REPEAT_RUNNING,  /* the first attempt is under way: wait for it */
-  CC_REPEAT_DONE,     /* its outcome is known: give it again */
-  CC_REPEAT_TOO_OLD,  /* it may have run before this memory began */
-  CC_REPEAT_AHEAD,    /* its time is in the future */
-  CC_REPEAT_MALFORMED /* it is no UUID of version 7 */
+  CC_REPEAT_NEW,      /* no attempt was made: run it */
+  CC_REPEAT_RUNNING,  /* the first attempt is in progress: wait for it */
+  CC_REPEAT_DONE,     /* its outcome is known: answer with that */
+  CC_REPEAT_TOO_OLD,  /* it may have run, but no record of it is kept */
+  CC_REPEAT_AHEAD,    /* the time in its key is in the future */
+  CC_REPEAT_MALFORMED /* its key is no UUID of version 7 */
 } CcRepeat;
 
+/* The outcome of one request. */
 typedef struct
 {
   CcOutcome outcome;
--- a/test/test_outcome.c
+++ b/test/test_outcome.c
@@ -1,10 +1,6 @@
-/* The outcome memory against a naive model that remembers everything for
- * ever, over seeded schedules.
- *
- * What the caller must never see: a once-only request that ran twice, a
- * not-run for what ran, or another outcome than the first.  Holders of the
- * slice are lost with their memory, entries are forgotten for age and size,
- * and the clocks of callers and instances differ, in any order. */
+/* Guards against a request that runs twice, a not-run for one that ran, and an
+ * outcome that differs from the first: holders are lost with their records,
+ * records are evicted, and the clocks of callers and instances differ. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdint.h>
@@ -22,9 +18,9 @@
 
 typedef enum
 {
-  KEY_IDLE,    /* never ran, as far as anybody knows */
-  KEY_RUNNING, /* an attempt is under way */
-  KEY_ENDED,   /* it ran, or may have */
+  KEY_IDLE,    /* no attempt, or only attempts reported as not-run */
+  KEY_RUNNING, /* an attempt is in progress */
+  KEY_ENDED,   /* it ran, or may have run */
 } KeyState;
 
 typedef struct
@@ -35,7 +31,7 @@
   KeyState state;
   CcOutcome outcome; /* if ENDED */
   guint status;
-  guint life; /* of the holder that has, or had, the attempt */
+  guint holder; /* number of the one that made the attempt */
 } Key;
 
 typedef struct
@@ -44,12 +40,12 @@
   GRand *rand;
   gint64 now;            /* true time */
   gint64 offset;         /* of the holder's clock */
-  guint life;            /* counts holders */
-  gint64 began;          /* by the holder's clock */
+  guint holder;          /* counts holders; the number of the present one */
+  gint64 took_over_at;   /* by the holder's clock */
   gint64 newest[SLICES]; /* latest time in any key that was run */
-  CcOutcomes *memory;
+  CcOutcomes *outcomes;
   GPtrArray *keys;
-  guint answers[CC_REPEAT_MALFORMED + 1];
+  guint results[CC_REPEAT_MALFORMED + 1];
 } World;
 
 static gint64
@@ -67,22 +63,22 @@
               (guint) (ms & 0xffff), a & 0xfff, (a >> 12) & 0xfff, b, a >> 20);
 }
 
-/* A holder without memory, its clock anywhere within the bound on instances.
- */
+/* Begins a holder without records, whose clock is anywhere within the bound on
+ * the skew of instances. */
 static void
 new_holder (World *w)
 {
   gint64 half = CC_INSTANCE_SKEW_MAX / 2;
 
-  if (w->memory != NULL)
-    cc_outcomes_free (w->memory);
-  w->memory = cc_outcomes_new ();
-  cc_outcomes_set_limits (w->memory, 40, 4000);
-  w->life++;
+  if (w->outcomes != NULL)
+    cc_outcomes_free (w->outcomes);
+  w->outcomes = cc_outcomes_new ();
+  cc_outcomes_set_limits (w->outcomes, 40, 4000);
+  w->holder++;
   w->offset = g_rand_int_range (w->rand, (gint32) -half, (gint32) half + 1);
-  w->began = wall (w);
+  w->took_over_at = wall (w);
   for (guint s = 0; s < SLICES; s++)
-    cc_outcomes_take_over (w->memory, POOL, s, wall (w), w->life == 1);
+    cc_outcomes_take_over (w->outcomes, POOL, s, wall (w), w->holder == 1);
 }
 
 static Key *
@@ -105,20 +101,21 @@
 static void
 fault (const World *w, const Key *k, const char *what)
 {
-  print_error ("seed %u: %s (key %s, state %d, life %u of %u)\n", w->seed, what,
-               k->id, k->state, k->life, w->life);
+  print_error ("seed %u: %s (key %s, state %d, holder %u of %u)\n", w->seed,
+               what, k->id, k->state, k->holder, w->holder);
   fail ();
 }
 
-/* A key that is newer than all that ran here and clear of the takeover must
- * not be refused: "unknown" for everything would be safe and useless. */
+/* A key that is newer than all keys that ran here and than the takeover must
+ * not be refused; answering "unknown" to everything would be safe but useless.
+ */
 static gboolean
 must_be_new (const World *w, const Key *k)
 {
   return k->state == KEY_IDLE && k->made > w->newest[k->slice] + CC_MS &&
          k->made <= wall (w) + CC_SKEW_MAX &&
-         (w->life == 1 ||
-          k->made >= w->began + CC_SKEW_MAX + CC_INSTANCE_SKEW_MAX);
+         (w->holder == 1 ||
+          k->made >= w->took_over_at + CC_SKEW_MAX + CC_INSTANCE_SKEW_MAX);
 }
 
 static void
@@ -126,20 +123,20 @@
 {
   if (k->state != KEY_IDLE)
     fault (w, k, "run again");
-  cc_outcomes_start (w->memory, POOL, k->slice, k->id, wall (w));
+  cc_outcomes_start (w->outcomes, POOL, k->slice, k->id, wall (w));
   k->state = KEY_RUNNING;
-  k->life = w->life;
+  k->holder = w->holder;
   w->newest[k->slice] = MAX (w->newest[k->slice], k->made);
 }
 
 static void
-ask (World *w, Key *k)
+lookup (World *w, Key *k)
 {
   const CcOutcomeRecord *kept = NULL;
   CcRepeat r =
-      cc_outcomes_lookup (w->memory, POOL, k->slice, k->id, wall (w), &kept);
+      cc_outcomes_lookup (w->outcomes, POOL, k->slice, k->id, wall (w), &kept);
 
-  w->answers[r]++;
+  w->results[r]++;
   if (must_be_new (w, k) && r != CC_REPEAT_NEW)
     fault (w, k, "refused for no reason");
   switch (r)
@@ -148,22 +145,22 @@
       begin (w, k);
       break;
     case CC_REPEAT_RUNNING:
-      if (k->state != KEY_RUNNING || k->life != w->life)
-        fault (w, k, "joins an attempt that is not under way");
+      if (k->state != KEY_RUNNING || k->holder != w->holder)
+        fault (w, k, "joins an attempt that is not in progress");
       break;
     case CC_REPEAT_DONE:
       if (k->state != KEY_ENDED || kept->outcome != k->outcome ||
           kept->status != k->status)
-        fault (w, k, "another outcome than the first");
+        fault (w, k, "an outcome other than the first");
       break;
     case CC_REPEAT_TOO_OLD:
-      if (k->state == KEY_RUNNING && k->life == w->life)
-        fault (w, k, "an attempt under way was forgotten");
+      if (k->state == KEY_RUNNING && k->holder == w->holder)
+        fault (w, k, "no record of an attempt in progress");
       break;
     case CC_REPEAT_AHEAD:
     case CC_REPEAT_MALFORMED:
       if (k->state != KEY_IDLE)
-        fault (w, k, "not-run for what may have run");
+        fault (w, k, "not-run for a request that may have run");
       break;
     }
 }
@@ -175,19 +172,19 @@
   g_autoptr (GBytes) body = g_bytes_new_take (g_malloc0 (size), size);
   CcOutcomeRecord r = { CC_OUTCOME_RUN, 200 + size, NULL, body };
 
-  if (k->life != w->life)
+  if (k->holder != w->holder)
     {
-      k->state = KEY_ENDED; /* at the server, with nobody to hear of it */
+      k->state = KEY_ENDED; /* at the server, after its holder was lost */
       return;
     }
   if (g_rand_int_range (w->rand, 0, 4) == 0)
     {
-      cc_outcomes_remove (w->memory, POOL, k->slice, k->id);
+      cc_outcomes_remove (w->outcomes, POOL, k->slice, k->id);
       k->state = KEY_IDLE;
       return;
     }
   r.outcome = g_rand_boolean (w->rand) ? CC_OUTCOME_RUN : CC_OUTCOME_UNKNOWN;
-  cc_outcomes_finish (w->memory, POOL, k->slice, k->id, &r);
+  cc_outcomes_finish (w->outcomes, POOL, k->slice, k->id, &r);
   k->state = KEY_ENDED;
   k->outcome = r.outcome;
   k->status = r.status;
@@ -209,9 +206,9 @@
   Key *k = w->keys->len > 0 ? pick (w) : new_key (w);
 
   if (what < 35)
-    ask (w, new_key (w));
+    lookup (w, new_key (w));
   else if (what < 65)
-    ask (w, k);
+    lookup (w, k);
   else if (what < 85 && k->state == KEY_RUNNING)
     end (w, k);
   else if (what < 98)
@@ -223,7 +220,7 @@
 }
 
 static void
-run_seed (guint32 seed, guint *answers)
+run_seed (guint32 seed, guint *results)
 {
   World w = { .seed = seed, .now = START };
 
@@ -232,9 +229,9 @@
   new_holder (&w);
   for (guint i = 0; i < STEPS; i++)
     step (&w);
-  for (guint i = 0; i < G_N_ELEMENTS (w.answers); i++)
-    answers[i] += w.answers[i];
-  cc_outcomes_free (w.memory);
+  for (guint i = 0; i < G_N_ELEMENTS (w.results); i++)
+    results[i] += w.results[i];
+  cc_outcomes_free (w.outcomes);
   g_ptr_array_unref (w.keys);
   g_rand_free (w.rand);
 }
@@ -242,15 +239,15 @@
 static void
 outcome_schedules (void **state)
 {
-  guint answers[CC_REPEAT_MALFORMED + 1] = { 0 };
+  guint results[CC_REPEAT_MALFORMED + 1] = { 0 };
 
   (void) state;
   for (guint32 seed = 1; seed <= SEEDS; seed++)
-    run_seed (seed, answers);
+    run_seed (seed, results);
   print_message ("# new %u, running %u, done %u, too old %u, ahead %u\n",
-                 answers[0], answers[1], answers[2], answers[3], answers[4]);
+                 results[0], results[1], results[2], results[3], results[4]);
   for (guint i = CC_REPEAT_NEW; i <= CC_REPEAT_AHEAD; i++)
-    assert_true (answers[i] > SEEDS); /* each answer was provoked */
+    assert_true (results[i] > SEEDS); /* each answer occurred */
 }
 
 static void
