--- a/outcome_transfer.c
+++ b/outcome_transfer.c
@@ -1,46 +1,48 @@
-/* A slice that moves in an orderly way takes the memory of its outcomes along,
- * so that a repeat after the move gets the outcome and not "unknown".
+/* Transfers the outcome records of a slice with a planned move, so that a
+ * repeat after the move is answered with the outcome and not with "unknown".
  *
- * A *hold* is one dispatcher's time with a slice: it is named by the slice's
- * epoch and the term of the server that owns it, and no two holds of a slice
- * have the same name.  The old holder sends its memory when the server has
- * stopped, in chunks, named after the hold that comes next.  The new holder
- * lowers its horizon to the old one's only when all chunks have come, in order
- * and from one sender; until then, and if one is lost, old keys are answered
- * "unknown", which costs callers a question and nobody a second payment.
+ * A *hold* is the time for which one dispatcher holds a slice.  It is
+ * identified by the slice's epoch and the term of the server that owns the
+ * slice; no two holds of a slice have the same identity.  When the server has
+ * stopped, the old holder sends its records in chunks that carry the identity
+ * of the next hold. The new holder lowers its horizon to the old one's only
+ * when all chunks have been received, in order and from one sender.  Until
+ * then, and if one is lost, old keys are answered "unknown": the caller then
+ * has to inquire, but nothing runs twice.
  *
- * It must also be the memory of the hold just before, or a hold between would
- * be missed: a dispatcher that was frozen while another held the slice would
- * pass on a memory with a gap and a horizon that hides it.  So who sends checks
- * that the map still shows the move as unsettled and away from it: its server
- * under its term, or being handed over from it under the next one, and the
- * slice's epoch the same, or the next with its server in `from`.
+ * The records must be those of the hold immediately before.  A dispatcher that
+ * was frozen while another held the slice would otherwise send records with a
+ * gap, and a horizon that hides the gap.  So the sender checks that the map
+ * still shows the move as incomplete and away from itself: its server has its
+ * term, or is being handed over from it under the next term, and the slice has
+ * the same epoch, or the next one with its server in `from`.
  */
 #include "outcome_transfer.h"
 
 #include <string.h>
 
-/* Later than any clock, and far from the end of its range. */
-#define HORIZON_MOST (G_MAXINT64 / 2)
+/* Later than any clock, and far enough below G_MAXINT64 for additions.  A
+ * horizon above it means that no records of the slice are known. */
+#define HORIZON_MAX (G_MAXINT64 / 2)
 
 typedef struct
 {
   char *server;
   guint64 epoch; /* of the slice */
   guint64 term;  /* of the server */
-  /* Of the next hold that it was last passed on to; the name may still change
-   * before the move is settled. */
+  /* Identity of the next hold to which the records were last sent; it may still
+   * change before the move is complete. */
   guint64 passed_epoch;
   guint64 passed_term;
-  char *passed_to; /* dispatcher; NULL: it was not passed on */
+  char *passed_to; /* dispatcher; NULL: the records were not sent */
 } Hold;
 
-/* Chunks that came for a hold. */
+/* The chunks received for a hold. */
 typedef struct
 {
   guint64 epoch, term; /* of the hold they are for */
   guint64 sender;      /* incarnation */
-  guint32 next;        /* index of the chunk that is due */
+  guint32 next;        /* index of the next chunk */
   gboolean complete;
   gint64 horizon;
 } Arrival;
@@ -50,10 +52,10 @@
   CcOutcomes *outcomes;
   GHashTable *holds;    /* "pool/slice" to Hold, the last one here */
   GHashTable *arrivals; /* "pool/slice" to Arrival, the last one */
-  GHashTable *passed;   /* "pool/server" to version of the map dealt with */
+  GHashTable *passed;   /* "pool/server" to version of the map handled last */
 };
 
-/* Chunks under construction. */
+/* The chunks of a slice while they are built. */
 typedef struct
 {
   const CcMsgOutcomes *head;
@@ -61,7 +63,7 @@
   GVariantBuilder *builder;
   guint entries; /* in the builder */
   gsize bytes;
-} Packing;
+} ChunkBuilder;
 
 static void
 hold_free (gpointer data)
@@ -71,7 +73,7 @@
   g_free (data);
 }
 
-/* Keeps track of holds for the memory OUTCOMES. */
+/* Creates the transfer state for the records in OUTCOMES. */
 CcTransfer *
 cc_transfer_new (CcOutcomes *outcomes)
 {
@@ -84,7 +86,7 @@
   return t;
 }
 
-/* Frees T; its memory of outcomes stays. */
+/* Frees T, but not its CcOutcomes. */
 void
 cc_transfer_free (CcTransfer *t)
 {
@@ -103,10 +105,11 @@
     cc_outcomes_lower_horizon (t->outcomes, pool, slice, a->horizon);
 }
 
-/* The slice is held here at WALL, as M says.  Sets its horizon if this is a new
- * hold: attempts may have been made by others (outcome.h).  That both servers
- * of a move are held here is no proof of the contrary, since the new one may
- * have been in other hands between: only the old hold's own word is. */
+/* Records that the slice is held here at WALL according to M.  If this is a new
+ * hold, sets its horizon, since others may have made attempts (outcome.h).
+ * That this process holds both servers of a move does not rule this out, as the
+ * new server may have had another holder in between; only the records of the
+ * previous hold do. */
 void
 cc_transfer_held (CcTransfer *t, const CcSliceMap *m, guint slice, gint64 wall)
 {
@@ -130,7 +133,7 @@
 }
 
 static void
-import (CcTransfer *t, const CcMsgOutcomes *o)
+import_chunk (CcTransfer *t, const CcMsgOutcomes *o)
 {
   CcOutcomeRecord r;
   GVariantIter iter;
@@ -152,8 +155,8 @@
     }
 }
 
-/* Takes in a chunk from the process SENDER.  Its entries are true whatever else
- * is lost; its horizon counts only with all of them. */
+/* Handles a chunk received from the process SENDER.  Its entries are valid even
+ * if other chunks are lost; its horizon is valid only with all chunks. */
 void
 cc_transfer_receive (CcTransfer *t, const CcMsgOutcomes *o, guint64 sender)
 {
@@ -174,14 +177,14 @@
       a->sender != sender || a->next != o->index)
     return;
   a->next++;
-  import (t, o);
+  import_chunk (t, o);
   a->complete = o->last;
   if (hold != NULL)
     lower_if_complete (t, o->pool, o->slice, hold, a);
 }
 
 static void
-close_chunk (Packing *p)
+close_chunk (ChunkBuilder *p)
 {
   g_ptr_array_add (p->chunks,
                    g_variant_ref_sink (g_variant_builder_end (p->builder)));
@@ -192,7 +195,7 @@
 }
 
 static gsize
-size_of (const CcOutcomeRecord *r)
+record_size (const CcOutcomeRecord *r)
 {
   gsize size = r->body != NULL ? g_bytes_get_size (r->body) : 0;
 
@@ -200,9 +203,9 @@
 }
 
 static void
-pack (const char *id, const CcOutcomeRecord *r, gpointer data)
+add_to_chunk (const char *id, const CcOutcomeRecord *r, gpointer data)
 {
-  Packing *p = data;
+  ChunkBuilder *p = data;
   gsize size = 0;
   gconstpointer body = r->body != NULL ? g_bytes_get_data (r->body, &size) : "";
   GVariant *headers = r->headers != NULL
@@ -210,31 +213,31 @@
                           : g_variant_new_array (G_VARIANT_TYPE_BYTE, NULL, 0);
 
   if (p->entries > 0 && (p->entries >= CC_TRANSFER_ENTRIES ||
-                         p->bytes + size_of (r) > CC_TRANSFER_BYTES))
+                         p->bytes + record_size (r) > CC_TRANSFER_BYTES))
     close_chunk (p);
   g_variant_builder_add (
       p->builder, "(syu@ay@ay)", id, (guchar) r->outcome, r->status, headers,
       g_variant_new_fixed_array (G_VARIANT_TYPE_BYTE, body, size, 1));
   p->entries++;
-  p->bytes += size_of (r);
+  p->bytes += record_size (r);
 }
 
 static GPtrArray *
-pack_slice (CcTransfer *t, const char *pool, guint slice)
+build_chunks (CcTransfer *t, const char *pool, guint slice)
 {
-  Packing p = { 0 };
+  ChunkBuilder p = { 0 };
 
   p.chunks = g_ptr_array_new_with_free_func ((GDestroyNotify) g_variant_unref);
   p.builder = g_variant_builder_new (G_VARIANT_TYPE ("a(syuayay)"));
-  cc_outcomes_each (t->outcomes, pool, slice, pack, &p);
+  cc_outcomes_each (t->outcomes, pool, slice, add_to_chunk, &p);
   close_chunk (&p);
   g_variant_builder_unref (p.builder);
   return p.chunks;
 }
 
-/* The server that has the slice, or will when its move is settled. */
+/* The server that owns the slice, or will when its move is complete. */
 static const CcMapServer *
-coming_owner (const CcSliceMap *m, guint slice)
+next_owner (const CcSliceMap *m, guint slice)
 {
   return cc_slicemap_server (m, cc_slicemap_at (m, slice)->server);
 }
@@ -243,8 +246,8 @@
 send_slice (CcTransfer *t, const CcSliceMap *m, guint slice,
             CcTransferSend send, gpointer data)
 {
-  const CcMapServer *owner = coming_owner (m, slice);
-  g_autoptr (GPtrArray) chunks = pack_slice (t, m->pool, slice);
+  const CcMapServer *owner = next_owner (m, slice);
+  g_autoptr (GPtrArray) chunks = build_chunks (t, m->pool, slice);
   CcMsgOutcomes o = { .pool = m->pool, .slice = slice };
   CcStatus status = CC_OK;
 
@@ -261,55 +264,57 @@
   return status;
 }
 
-/* The next hold of the slice is this process's own. */
+/* Records a complete transfer to the next hold of the slice, which is this
+ * process's own. */
 static void
-pass_to_self (CcTransfer *t, const CcSliceMap *m, guint slice)
+record_own_transfer (CcTransfer *t, const CcSliceMap *m, guint slice)
 {
   Arrival *a = g_new0 (Arrival, 1);
 
   a->epoch = cc_slicemap_at (m, slice)->epoch;
-  a->term = coming_owner (m, slice)->term;
+  a->term = next_owner (m, slice)->term;
   a->complete = TRUE;
   a->horizon = cc_outcomes_horizon (t->outcomes, m->pool, slice);
   g_hash_table_insert (t->arrivals, g_strdup_printf ("%s/%u", m->pool, slice),
                        a);
 }
 
-/* Whether HOLD, by ME, lasted until the move that M tells of. */
+/* Whether HOLD, by ME, lasted until the move that M shows as in progress. */
 static gboolean
-was_last (const CcSliceMap *m, guint slice, const Hold *hold, const char *me)
+lasted_until_move (const CcSliceMap *m, guint slice, const Hold *hold,
+                   const char *me)
 {
   const CcMapSlice *s = cc_slicemap_at (m, slice);
-  const CcMapServer *owner = coming_owner (m, slice);
-  const CcMapServer *mine =
+  const CcMapServer *owner = next_owner (m, slice);
+  const CcMapServer *own =
       cc_slicemap_server (m, cc_slicemap_find (m, hold->server));
   gboolean handed_over;
 
-  if (owner == NULL || mine == NULL || owner->dispatcher[0] == '\0')
+  if (owner == NULL || own == NULL || owner->dispatcher[0] == '\0')
     return FALSE;
-  handed_over = g_str_equal (mine->from, me) && mine->term == hold->term + 1;
-  if (!handed_over && !(mine->from[0] == '\0' && mine->term == hold->term &&
-                        g_str_equal (mine->dispatcher, me)))
+  handed_over = g_str_equal (own->from, me) && own->term == hold->term + 1;
+  if (!handed_over && !(own->from[0] == '\0' && own->term == hold->term &&
+                        g_str_equal (own->dispatcher, me)))
     return FALSE;
-  if (mine == owner && cc_slicemap_server (m, s->from) == mine)
+  if (own == owner && cc_slicemap_server (m, s->from) == own)
     return s->epoch == hold->epoch + 1; /* a split */
-  if (mine == owner)
+  if (own == owner)
     return handed_over && s->epoch == hold->epoch;
-  return s->epoch == hold->epoch + 1 && cc_slicemap_server (m, s->from) == mine;
+  return s->epoch == hold->epoch + 1 && cc_slicemap_server (m, s->from) == own;
 }
 
 static gboolean
-pass_slice (CcTransfer *t, const CcSliceMap *m, guint slice, Hold *hold,
-            const char *me, CcTransferSend send, gpointer data)
+transfer_slice (CcTransfer *t, const CcSliceMap *m, guint slice, Hold *hold,
+                const char *me, CcTransferSend send, gpointer data)
 {
-  const CcMapServer *owner = coming_owner (m, slice);
+  const CcMapServer *owner = next_owner (m, slice);
   guint64 epoch = cc_slicemap_at (m, slice)->epoch;
 
   if (hold->passed_epoch == epoch && hold->passed_term == owner->term &&
       g_strcmp0 (hold->passed_to, owner->dispatcher) == 0)
     return TRUE;
   if (g_str_equal (owner->dispatcher, me))
-    pass_to_self (t, m, slice);
+    record_own_transfer (t, m, slice);
   else if (send_slice (t, m, slice, send, data) == CC_FULL)
     return FALSE;
   hold->passed_epoch = epoch;
@@ -319,32 +324,32 @@
   return TRUE;
 }
 
-/* A holder between two moves, one soon after the other, may read only a map in
- * which the second has begun.  It served nothing of its hold, so the memory
- * that came for that hold is all there is; it is passed on like that of a hold
- * that was read of.  A unit that is being split has none from before (inherit).
- * Returns the hold, or NULL if there is none. */
+/* Handles a hold that this process never read in a map.  If two moves follow
+ * each other closely, the holder between them may read only a map in which the
+ * second has begun.  It ran nothing under its hold, so the records received for
+ * that hold are complete, and they are sent on like those of any hold.  A unit
+ * that is being split has no earlier hold (inherit_records).  Returns the hold,
+ * or NULL if there is none. */
 static Hold *
-hold_unread (CcTransfer *t, const CcSliceMap *m, guint unit, const char *server,
-             const char *me)
+add_unread_hold (CcTransfer *t, const CcSliceMap *m, guint unit,
+                 const char *server, const char *me)
 {
   const CcMapSlice *s = cc_slicemap_at (m, unit);
-  const CcMapServer *mine =
-      cc_slicemap_server (m, cc_slicemap_find (m, server));
+  const CcMapServer *own = cc_slicemap_server (m, cc_slicemap_find (m, server));
   const CcMapHot *hot = cc_slicemap_hot (m, unit);
   g_autofree char *key = g_strdup_printf ("%s/%u", m->pool, unit);
   const Arrival *a = g_hash_table_lookup (t->arrivals, key);
   Hold candidate = { .server = (char *) server };
   Hold *held;
 
-  if (mine == NULL || a == NULL || !a->complete || a->horizon > HORIZON_MOST ||
+  if (own == NULL || a == NULL || !a->complete || a->horizon > HORIZON_MAX ||
       (hot != NULL && hot->state == CC_HOT_SPLITTING))
     return NULL;
   candidate.epoch =
-      cc_slicemap_server (m, s->from) == mine ? s->epoch - 1 : s->epoch;
-  candidate.term = g_str_equal (mine->from, me) ? mine->term - 1 : mine->term;
+      cc_slicemap_server (m, s->from) == own ? s->epoch - 1 : s->epoch;
+  candidate.term = g_str_equal (own->from, me) ? own->term - 1 : own->term;
   if (a->epoch != candidate.epoch || a->term != candidate.term ||
-      !was_last (m, unit, &candidate, me))
+      !lasted_until_move (m, unit, &candidate, me))
     return NULL;
   cc_outcomes_take_over (t->outcomes, m->pool, unit, a->horizon, FALSE);
   lower_if_complete (t, m->pool, unit, &candidate, a);
@@ -355,8 +360,8 @@
   return held;
 }
 
-/* SERVER's hold of UNIT by ME, if it lasted until the move that M tells of, or
- * NULL. */
+/* ME's hold of UNIT on SERVER, if it lasted until the move that M shows as in
+ * progress, or NULL. */
 static Hold *
 last_hold (CcTransfer *t, const CcSliceMap *m, guint unit, const char *server,
            const char *me)
@@ -365,21 +370,22 @@
   Hold *hold = g_hash_table_lookup (t->holds, key);
 
   if (hold != NULL && g_str_equal (hold->server, server) &&
-      was_last (m, unit, hold, me))
+      lasted_until_move (m, unit, hold, me))
     return hold;
-  return hold_unread (t, m, unit, server, me);
+  return add_unread_hold (t, m, unit, server, me);
 }
 
-/* A hot key that leaves its slice takes the slice's whole memory along, which
- * holds all of its own.  It is written down as if the key's unit had been held
- * here all along under the epoch before, from where it is passed on like that
- * of any unit that moves.  SERVER has stopped: memory taken while the slice's
- * attempts were under way would call them unknown.  Only the holder of the
- * slice until now may: a unit's number was another key's before, whose memory
- * says nothing about this key, and believed in would let a repeat run twice. */
+/* Copies the records of a hot key's slice, which include all of the key's own,
+ * to the key's new unit.  The unit is then recorded as if it had been held here
+ * under the previous epoch, so that its records are sent on like those of any
+ * unit that moves.  SERVER has stopped by now; a copy made while attempts of
+ * the slice were in progress would contain them as unknown.  Only the last
+ * holder of the slice may do this: the unit's number belonged to another key
+ * before, whose records say nothing about this key, and using them would let a
+ * repeat run twice. */
 static void
-inherit (CcTransfer *t, const CcSliceMap *m, guint unit, const char *server,
-         const char *me)
+inherit_records (CcTransfer *t, const CcSliceMap *m, guint unit,
+                 const char *server, const char *me)
 {
   const CcMapHot *hot = cc_slicemap_hot (m, unit);
   guint slice = cc_slicemap_slice (m, hot->hash);
@@ -401,9 +407,10 @@
   g_hash_table_insert (t->holds, to, held);
 }
 
-/* What M takes away from SERVER has stopped: passes the memory of those slices
- * on to their next holders.  Returns FALSE if a link was full; to be called
- * again then.  Calls with a map that was dealt with do nothing. */
+/* Sends the records of the slices that M takes away from SERVER to their next
+ * holders.  Called when all work for those slices has stopped.  Returns FALSE
+ * if a link was full; the caller then calls again.  A call with a map that was
+ * handled completely does nothing. */
 gboolean
 cc_transfer_stopped (CcTransfer *t, const CcSliceMap *m, const char *server,
                      const char *me, CcTransferSend send, gpointer data)
@@ -416,13 +423,13 @@
     return TRUE;
   for (guint i = m->slices->len; i < cc_slicemap_units (m); i++)
     if (cc_slicemap_hot (m, i)->state == CC_HOT_SPLITTING)
-      inherit (t, m, i, server, me);
+      inherit_records (t, m, i, server, me);
   for (guint i = 0; i < cc_slicemap_units (m); i++)
     {
       Hold *hold = last_hold (t, m, i, server, me);
 
       if (hold != NULL)
-        all = pass_slice (t, m, i, hold, me, send, data) && all;
+        all = transfer_slice (t, m, i, hold, me, send, data) && all;
     }
   if (all)
     g_hash_table_insert (t->passed, g_steal_pointer (&key),
--- a/outcome_transfer.h
+++ b/outcome_transfer.h
@@ -1,4 +1,5 @@
-/* Passes the memory of outcomes on when a slice changes dispatchers. */
+/* Transfers the outcome records of a slice to the dispatcher that holds it
+ * next. */
 #ifndef CC_OUTCOME_TRANSFER_H
 #define CC_OUTCOME_TRANSFER_H
 
@@ -6,14 +7,14 @@
 #include "slicemap.h"
 #include "wire.h"
 
-/* Bounds of one message, so that it delays the requests behind it little: a
- * quarter of a megabyte takes 2 ms at 1 Gbit/s. */
+/* Limits of one message, which bound the delay of requests queued behind it:
+ * 256 KiB take 2 ms at 1 Gbit/s. */
 #define CC_TRANSFER_ENTRIES 500
 #define CC_TRANSFER_BYTES (256 * 1024)
 
 typedef struct CcTransfer CcTransfer;
 
-/* Sends M to the dispatcher whose id is TO.  CC_FULL: to be tried again. */
+/* Sends M to the dispatcher with id TO.  CC_FULL: the caller tries again. */
 typedef CcStatus (*CcTransferSend) (const char *to, const CcMsgOutcomes *m,
                                     gpointer data);
 
--- a/test/test_outcome_chunks.c
+++ b/test/test_outcome_chunks.c
@@ -1,7 +1,6 @@
-/* A memory of three chunks, of which some don't come, or come twice, in another
- * order or from another process.  The horizon may be lowered only by all of
- * them in order and from one sender, or a repeat of what stood in the missing
- * chunk would run again: the caller would pay twice. */
+/* Guards against a horizon lowered by incomplete records, which would let a
+ * repeat run twice: of three chunks some are lost, duplicated, reordered or
+ * sent by another process. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -61,7 +60,8 @@
   return CC_OK;
 }
 
-/* The old holder's chunks, and in M the map by which the new one begins. */
+/* Returns the old holder's chunks, and changes M to the map with which the new
+ * holder begins. */
 static GPtrArray *
 old_chunks (CcSliceMap *m)
 {
--- a/test/test_outcome_transfer.c
+++ b/test/test_outcome_transfer.c
@@ -1,11 +1,7 @@
-/* Slices and servers change hands among processes, some of which are frozen
- * or lose their lease, while callers repeat requests; messages with outcomes
- * are late, lost or cross.
- *
- * What the caller must never see: a once-only request run twice, by whichever
- * process.  And if nothing is lost, no repeat after a move is answered
- * "unknown".  The test is the assigner, and follows its rule: the first map
- * names the next holder, the second comes after the old one stopped. */
+/* Guards against a request that runs twice, and, if nothing is lost, against a
+ * repeat that is answered "unknown" after a move: slices and servers move among
+ * processes that are frozen or lose their lease, and messages are lost or late.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdint.h>
@@ -52,7 +48,7 @@
 {
   guint to;
   guint64 sender;
-  GBytes *bytes; /* as it goes over the wire */
+  GBytes *bytes; /* the encoded message */
 } Mail;
 
 struct World
@@ -109,7 +105,7 @@
 /* Servers whose dispatcher has lost its lease go to another at once, under a
  * higher term, unless an older one has yet to stop. */
 static void
-replace_lost (World *w)
+reassign_lost_servers (World *w)
 {
   for (gint32 i = 0; i < SERVERS; i++)
     {
@@ -130,16 +126,16 @@
     }
 }
 
-/* The process goes on under another id, with its memory. */
+/* The process continues under another id and keeps its records. */
 static void
 lose_lease (World *w, Process *p)
 {
   new_id (p);
-  replace_lost (w);
+  reassign_lost_servers (w);
 }
 
 static CcStatus
-post (const char *to, const CcMsgOutcomes *o, gpointer data)
+queue_message (const char *to, const CcMsgOutcomes *o, gpointer data)
 {
   Process *from = data;
   World *w = from->world;
@@ -186,8 +182,8 @@
          g_str_equal (s->dispatcher, p->id);
 }
 
-/* P reads the newest map: stops what it lost, passes the memory on, reports,
- * and takes what is its own. */
+/* P reads the newest map: stops the slices that it lost, sends their records to
+ * the next holders, reports that, and begins the slices that it holds now. */
 static void
 read_map (World *w, Process *p)
 {
@@ -201,8 +197,9 @@
       const CcMapServer *s = cc_slicemap_server (p->map, i);
 
       if (!g_str_equal (s->from[0] != '\0' ? s->from : s->dispatcher, p->id))
-        continue; /* not its holder, or not yet */
-      if (cc_transfer_stopped (p->transfer, p->map, s->name, p->id, post, p))
+        continue; /* P is not its present holder */
+      if (cc_transfer_stopped (p->transfer, p->map, s->name, p->id,
+                               queue_message, p))
         w->applied[i] = p->map->version;
     }
   for (guint i = 0; i < cc_slicemap_units (p->map); i++)
@@ -210,11 +207,12 @@
       cc_transfer_held (p->transfer, p->map, i, w->now);
 }
 
-/* Orderly moves come one after the other.  When a second one begins before the
- * first is settled, read of and followed by its memory, that may lie with a
- * process that is the holder no more: "unknown" is right then. */
+/* Whether no move is in progress.  Orderly moves follow one another: if a
+ * second one begins before the first is complete, read by all and followed by
+ * the records, those may be at a process that is not the holder, and "unknown"
+ * is the correct answer. */
 static gboolean
-is_settled (World *w)
+is_stable (World *w)
 {
   if (!g_queue_is_empty (&w->mail))
     return FALSE;
@@ -260,7 +258,7 @@
   w->moves++;
 }
 
-/* A key leaves its slice for a unit of its own, or returns to it. */
+/* Splits a key out of its slice into its own unit, or folds a unit back. */
 static void
 split_or_fold (World *w)
 {
@@ -306,7 +304,7 @@
 }
 
 static void
-settle_units (World *w, guint64 version)
+complete_unit_moves (World *w, guint64 version)
 {
   for (guint i = cc_slicemap_units (w->map); i-- > 0;)
     {
@@ -322,9 +320,9 @@
     }
 }
 
-/* Second halves, as ownership_moves.c writes them. */
+/* Completes moves whose old holder has stopped, as ownership_moves.c does. */
 static void
-settle (World *w)
+complete_moves (World *w)
 {
   guint64 version = w->map->version;
 
@@ -339,8 +337,8 @@
           w->map->version = version + 1;
         }
     }
-  settle_units (w, version);
-  replace_lost (w);
+  complete_unit_moves (w, version);
+  reassign_lost_servers (w);
 }
 
 static Key *
@@ -375,7 +373,7 @@
 }
 
 static void
-ask (World *w, Key *k)
+look_up (World *w, Key *k)
 {
   const CcOutcomeRecord *kept;
 
@@ -403,7 +401,7 @@
           w->unknown++;
           if (!w->lossy && g_queue_is_empty (&w->mail) && k->runs > 0)
             {
-              print_error ("seed %u: %s forgotten\n", w->seed, k->id);
+              print_error ("seed %u: no record of %s\n", w->seed, k->id);
               fail ();
             }
           break;
@@ -417,7 +415,7 @@
 }
 
 static void
-lose_something (World *w)
+inject_failure (World *w)
 {
   Process *p = &w->p[g_rand_int_range (w->rand, 0, PROCESSES)];
 
@@ -435,17 +433,18 @@
   gint32 what = g_rand_int_range (w->rand, 0, 100);
 
   if (what < 25)
-    ask (w, new_key (w));
+    look_up (w, new_key (w));
   else if (what < 45 && w->keys->len > 0)
-    ask (w,
-         w->keys->pdata[g_rand_int_range (w->rand, 0, (gint32) w->keys->len)]);
+    look_up (
+        w,
+        w->keys->pdata[g_rand_int_range (w->rand, 0, (gint32) w->keys->len)]);
   else if (what < 65)
     read_map (w, &w->p[g_rand_int_range (w->rand, 0, PROCESSES)]);
   else if (what < 75 && !g_queue_is_empty (&w->mail))
     deliver_one (w);
   else if (what < 82)
-    settle (w);
-  else if (what < 92 && !w->lossy && !is_settled (w))
+    complete_moves (w);
+  else if (what < 92 && !w->lossy && !is_stable (w))
     return;
   else if (what < 87)
     move_server (w);
@@ -454,7 +453,7 @@
   else if (what < 92)
     split_or_fold (w);
   else if (what < 94 && w->lossy)
-    lose_something (w);
+    inject_failure (w);
   else
     w->now += g_rand_int_range (w->rand, 1, 400) * CC_MS;
 }
@@ -559,19 +558,19 @@
     deliver_one (w);
 }
 
-/* The holder of server 0 passes on what it has to, though a link is full at
- * times. */
+/* P, the holder of server 0, reads the map until all records were sent, since a
+ * link is full at times. */
 static void
-stop_at (World *w, Process *p)
+stop_server (World *w, Process *p)
 {
   while (w->applied[0] != w->map->version)
     read_map (w, p);
 }
 
-/* Guards against outcomes forgotten by two moves, one soon after the other: the
- * holder between them never read a map that says that it is one. */
+/* Guards against records lost by two moves in close succession: the holder
+ * between them never read a map that names it as the holder. */
 static void
-an_unread_hold_passes_the_memory_on (void **state)
+an_unread_hold_passes_the_records_on (void **state)
 {
   World w = { .seed = 1 };
   const CcOutcomeRecord *kept;
@@ -591,14 +590,14 @@
   set_text (&s->dispatcher, w.p[1].id);
   s->term++;
   w.map->version++;
-  stop_at (&w, &w.p[0]);
+  stop_server (&w, &w.p[0]);
   deliver_all (&w);
-  settle (&w);
+  complete_moves (&w);
   cc_moves_start (w.map, 0, 2);
   w.map->version++;
-  stop_at (&w, &w.p[1]);
+  stop_server (&w, &w.p[1]);
   deliver_all (&w);
-  settle (&w);
+  complete_moves (&w);
   read_map (&w, &w.p[2]);
   assert_true (holds (&w.p[2], 0));
   assert_int_equal (
@@ -612,12 +611,11 @@
   world_clear (&w);
 }
 
-/* Guards against "unknown" for a repeat whose first attempt had been answered:
- * the dispatcher held two servers of the pool, and the key's unit was given the
- * memory of its slice when the other one had stopped, with the attempt still
- * under way. */
+/* Guards against "unknown" for a repeat whose first attempt was answered: the
+ * dispatcher held two servers, and the records of the slice were copied to the
+ * key's unit when the other one had stopped, with the attempt in progress. */
 static void
-a_split_key_takes_ended_attempts_along (void **state)
+a_split_copies_the_records_of_ended_attempts (void **state)
 {
   World w = { .seed = 1 };
   Process *p = &w.p[0];
@@ -636,11 +634,11 @@
   unit = cc_moves_split (w.map, k->hash, 0);
   assert_true (unit > 0);
   w.map->version++;
-  assert_true (
-      cc_transfer_stopped (p->transfer, w.map, "server-1", p->id, post, p));
+  assert_true (cc_transfer_stopped (p->transfer, w.map, "server-1", p->id,
+                                    queue_message, p));
   cc_outcomes_finish (p->outcomes, POOL, 0, k->id, &r);
-  assert_true (
-      cc_transfer_stopped (p->transfer, w.map, "server-0", p->id, post, p));
+  assert_true (cc_transfer_stopped (p->transfer, w.map, "server-0", p->id,
+                                    queue_message, p));
   assert_int_equal (
       cc_outcomes_lookup (p->outcomes, POOL, (guint) unit, k->id, w.now, &kept),
       CC_REPEAT_DONE);
@@ -648,10 +646,10 @@
   world_clear (&w);
 }
 
-/* Guards against outcomes forgotten by a hot key that is split out of its slice
- * in the step in which the slice's server goes to another dispatcher. */
+/* Guards against records lost for a hot key that is split out of its slice in
+ * the same map version that hands the slice's server to another dispatcher. */
 static void
-a_split_beside_a_handover_takes_the_memory_along (void **state)
+a_split_during_a_handover_copies_the_records (void **state)
 {
   World w = { .seed = 1 };
   const CcOutcomeRecord *kept;
@@ -673,11 +671,11 @@
   s->term++;
   assert_true (cc_moves_split (w.map, k->hash, 0) > 0);
   w.map->version++;
-  stop_at (&w, &w.p[0]);
+  stop_server (&w, &w.p[0]);
   deliver_all (&w);
-  settle (&w);
-  stop_at (&w, &w.p[1]);
-  settle (&w);
+  complete_moves (&w);
+  stop_server (&w, &w.p[1]);
+  complete_moves (&w);
   read_map (&w, &w.p[1]);
   unit = cc_slicemap_unit (w.map, k->hash);
   assert_true (unit >= SLICES);
@@ -694,9 +692,9 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (transfer_lossy),
     cmocka_unit_test (transfer_orderly),
-    cmocka_unit_test (an_unread_hold_passes_the_memory_on),
-    cmocka_unit_test (a_split_key_takes_ended_attempts_along),
-    cmocka_unit_test (a_split_beside_a_handover_takes_the_memory_along),
+    cmocka_unit_test (an_unread_hold_passes_the_records_on),
+    cmocka_unit_test (a_split_copies_the_records_of_ended_attempts),
+    cmocka_unit_test (a_split_during_a_handover_copies_the_records),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
