--- a/holding.c
+++ b/holding.c
@@ -73,12 +73,16 @@
   g_rc_box_release_full (h, holding_clear);
 }
 
+/* The state of SLICE; NULL if the server neither owns it nor runs attempts for
+ * it. */
 static CcHeldSlice *
 find_slice (const CcHolding *h, guint slice)
 {
   return g_hash_table_lookup (h->slices, GUINT_TO_POINTER (slice));
 }
 
+/* Adds a slice owned under EPOCH, which must be granted before attempts are
+ * sent. */
 static void
 add_slice (CcHolding *h, guint slice, guint64 epoch)
 {
@@ -97,6 +101,8 @@
   h->serial++;
 }
 
+/* Ends the ownership of a slice.  Its state is removed when no attempt for it
+ * is in progress. */
 static void
 release_slice (CcHolding *h, guint slice)
 {
@@ -111,6 +117,7 @@
   h->serial++;
 }
 
+/* Changes to a new term, under which all slices must be granted again. */
 static void
 set_term (CcHolding *h, guint64 term)
 {
@@ -273,6 +280,7 @@
   return TRUE;
 }
 
+/* Whether attempts for slices that the server does not own are in progress. */
 static gboolean
 has_running_unowned (const CcHolding *h)
 {
--- a/outcome.c
+++ b/outcome.c
@@ -109,6 +109,7 @@
   g_free (o);
 }
 
+/* Whether KEY has the form of a UUID of version 7. */
 static gboolean
 has_uuid_shape (const char *key)
 {
@@ -184,6 +185,7 @@
   s->taken = MIN (s->taken, horizon);
 }
 
+/* The later of the two horizons of a slice. */
 static gint64
 horizon_of (const Slice *s)
 {
@@ -198,6 +200,7 @@
   return horizon_of (find_slice (o, pool, slice));
 }
 
+/* Removes and frees an entry.  The horizon of its slice stays. */
 static void
 remove_entry (CcOutcomes *o, Entry *e)
 {
@@ -225,6 +228,8 @@
   return TRUE;
 }
 
+/* Evicts finished entries at the head of the list whose keys are older than
+ * CC_OUTCOME_RETENTION. */
 static void
 expire (CcOutcomes *o, gint64 wall)
 {
@@ -267,6 +272,8 @@
   return created > wall + CC_SKEW_MAX ? CC_REPEAT_AHEAD : CC_REPEAT_NEW;
 }
 
+/* Adds an entry in progress for ID, whose key has time CREATED.  At the limit,
+ * the oldest finished entry is evicted. */
 static Entry *
 add_entry (CcOutcomes *o, const char *pool, guint slice, const char *id,
            gint64 created)
@@ -299,6 +306,8 @@
   add_entry (o, pool, slice, id, created);
 }
 
+/* Finishes entry E with R, and evicts entries while the bodies exceed the
+ * limit. */
 static void
 save_outcome (CcOutcomes *o, Entry *e, const CcOutcomeRecord *r)
 {
--- a/outcome.h
+++ b/outcome.h
@@ -8,7 +8,7 @@
 /* How long an outcome is kept.  Callers repeat a request within minutes. */
 #define CC_OUTCOME_RETENTION (10 * 60 * CC_SECOND)
 
-/* Most outcomes kept, and most bytes of their answers' bodies. */
+/* Limits on the outcomes kept, and on the bytes of their answers' bodies. */
 #define CC_OUTCOMES_MAX 50000
 #define CC_OUTCOME_BYTES_MAX (32 * 1024 * 1024)
 
--- a/outcome_transfer.c
+++ b/outcome_transfer.c
@@ -5,7 +5,7 @@
  * identified by the slice's epoch and the term of the server that owns the
  * slice; no two holds of a slice have the same identity.  When the server has
  * stopped, the old holder sends its records in chunks that carry the identity
- * of the next hold. The new holder lowers its horizon to the old one's only
+ * of the next hold.  The new holder lowers its horizon to the old one's only
  * when all chunks have been received, in order and from one sender.  Until
  * then, and if one is lost, old keys are answered "unknown": the caller then
  * has to inquire, but nothing runs twice.
@@ -96,6 +96,8 @@
   g_free (t);
 }
 
+/* Lowers the horizon of a slice to that in A, if A is complete and belongs to
+ * HOLD. */
 static void
 lower_if_complete (CcTransfer *t, const char *pool, guint slice,
                    const Hold *hold, const Arrival *a)
@@ -132,6 +134,8 @@
   g_hash_table_insert (t->holds, g_steal_pointer (&key), last);
 }
 
+/* Adds the records in a chunk.  Outcomes other than CC_OUTCOME_RUN become
+ * unknown. */
 static void
 import_chunk (CcTransfer *t, const CcMsgOutcomes *o)
 {
@@ -183,6 +187,7 @@
     lower_if_complete (t, o->pool, o->slice, hold, a);
 }
 
+/* Ends the present chunk, also an empty one, and begins the next. */
 static void
 close_chunk (ChunkBuilder *p)
 {
@@ -202,6 +207,8 @@
   return size + (r->headers != NULL ? g_variant_get_size (r->headers) : 0);
 }
 
+/* Adds a record to the present chunk, or to the next one if the limits would
+ * be exceeded. */
 static void
 add_to_chunk (const char *id, const CcOutcomeRecord *r, gpointer data)
 {
@@ -222,6 +229,8 @@
   p->bytes += record_size (r);
 }
 
+/* The records of a slice as an array of chunks, at least one.  The caller
+ * unrefs it. */
 static GPtrArray *
 build_chunks (CcTransfer *t, const char *pool, guint slice)
 {
@@ -242,6 +251,8 @@
   return cc_slicemap_server (m, cc_slicemap_at (m, slice)->server);
 }
 
+/* Sends the chunks of a slice to the next holder.  Returns the first status
+ * that is not CC_OK. */
 static CcStatus
 send_slice (CcTransfer *t, const CcSliceMap *m, guint slice,
             CcTransferSend send, gpointer data)
@@ -303,6 +314,8 @@
   return s->epoch == hold->epoch + 1 && cc_slicemap_server (m, s->from) == own;
 }
 
+/* Transfers the records under HOLD to the next hold of the slice, once for
+ * each identity that it has.  Returns FALSE if a link was full. */
 static gboolean
 transfer_slice (CcTransfer *t, const CcSliceMap *m, guint slice, Hold *hold,
                 const char *me, CcTransferSend send, gpointer data)
--- a/promise.c
+++ b/promise.c
@@ -15,8 +15,8 @@
  *
  * Votes are neither stored nor replicated.  A voter loses its records when its
  * process exits, so a new process rejects all requests for a term.  By then the
- * promises that its predecessor gave have expired, and the leases that it
- * released have lapsed, which no promise extends.
+ * promises of its predecessor have expired, and the leases that the predecessor
+ * released have lapsed; no promise extends a lapsed lease.
  *
  * A lease that a majority grants without a log is the idea of PaxosLease
  * (Trencseni, Gazso and Reinhardt, 2012), here reduced to promises that one
@@ -24,9 +24,9 @@
  */
 #include "promise.h"
 
-/* Most leases that a voter has records of: one for each registration of a
- * dispatcher while the voter's process runs.  Requests for further leases are
- * rejected until it is restarted. */
+/* Limit on the leases that a voter has records of, one for each registration of
+ * a dispatcher while the voter's process runs.  Requests about further leases
+ * are rejected until it is restarted. */
 #define LEASES_MAX 20000
 
 typedef struct
@@ -39,15 +39,15 @@
 void
 cc_voter_init (CcVoter *v, gint64 now)
 {
-  v->quiet_until = now + CC_PROMISE_TERM;
-  v->leases = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  v->reject_until = now + CC_PROMISE_TERM;
+  v->records = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
 /* Frees what V holds. */
 void
 cc_voter_clear (CcVoter *v)
 {
-  g_clear_pointer (&v->leases, g_hash_table_unref);
+  g_clear_pointer (&v->records, g_hash_table_unref);
 }
 
 /* The record of lease ID, created if there is none; NULL if the voter already
@@ -55,12 +55,12 @@
 static VoteRecord *
 find_record (CcVoter *v, const char *id)
 {
-  VoteRecord *r = g_hash_table_lookup (v->leases, id);
+  VoteRecord *r = g_hash_table_lookup (v->records, id);
 
-  if (r != NULL || g_hash_table_size (v->leases) >= LEASES_MAX)
+  if (r != NULL || g_hash_table_size (v->records) >= LEASES_MAX)
     return r;
   r = g_new0 (VoteRecord, 1);
-  g_hash_table_insert (v->leases, g_strdup (id), r);
+  g_hash_table_insert (v->records, g_strdup (id), r);
   return r;
 }
 
@@ -71,7 +71,7 @@
 {
   VoteRecord *r;
 
-  if (now < v->quiet_until)
+  if (now < v->reject_until)
     return FALSE;
   r = find_record (v, id);
   if (r == NULL || version <= r->released)
@@ -88,7 +88,7 @@
 {
   VoteRecord *r;
 
-  if (now < v->quiet_until)
+  if (now < v->reject_until)
     return FALSE;
   r = find_record (v, id);
   if (r == NULL || now < r->promised_until)
--- a/promise.h
+++ b/promise.h
@@ -10,8 +10,8 @@
  * it ends first; the margin covers the different rates of two clocks. */
 #define CC_PROMISE_TERM (CC_LEASE_TERM + CC_LEASE_MARGIN)
 
-/* Most voters: one for each of 11 instances.  More would only add messages,
- * since each request is sent to all voters. */
+/* Limit on the voters: one for each of 11 instances.  More would only add
+ * messages, since each request is sent to all voters. */
 #define CC_VOTERS_MAX 11
 
 typedef enum
@@ -26,9 +26,9 @@
 /* The state of one voter. */
 typedef struct
 {
-  gint64 quiet_until; /* rejects all requests before, us: promises that it gave
+  gint64 reject_until; /* rejects all requests before, us: promises that it gave
                          before a restart may still be in force */
-  GHashTable *leases; /* lease id to VoteRecord */
+  GHashTable *records; /* lease id to VoteRecord */
 } CcVoter;
 
 /* One request to all voters, and the votes on it. */
--- a/takeover.c
+++ b/takeover.c
@@ -18,7 +18,7 @@
 #include "metrics.h"
 #include "voters.h"
 
-#define LEASE "lease/"
+#define LEASE_PREFIX "lease/"
 #define VOTERS_ROW "voters"
 
 struct CcTakeover
@@ -57,6 +57,8 @@
   return t;
 }
 
+/* Handles the result of the transaction that deletes a lease.  If it failed,
+ * the lease is checked again at a later tick. */
 static void
 on_deleted (CcStatus status, guint64 version, gpointer data)
 {
@@ -75,6 +77,8 @@
   g_free (d);
 }
 
+/* Deletes the lease in ROW and its holder's member row, if neither the lease
+ * nor the voters' row, last read at version VOTERS, has changed. */
 static void
 delete_lease (CcTakeover *t, const char *id, const CcRow *row, guint64 voters)
 {
@@ -92,6 +96,7 @@
   cc_platform_commit (t->platform, x, on_deleted, d);
 }
 
+/* The watch of lease ID, created if there is none. */
 static CcLeaseWatch *
 find_watch (CcTakeover *t, const char *id)
 {
@@ -104,10 +109,12 @@
   return w;
 }
 
+/* Updates the watch of the lease in ROW.  If ACTIVE, deletes a lease that has
+ * lapsed and was released. */
 static void
 check_lease (CcTakeover *t, const CcRow *row, gboolean active, gint64 now)
 {
-  const char *id = row->key + strlen (LEASE);
+  const char *id = row->key + strlen (LEASE_PREFIX);
   CcLeaseWatch *w = find_watch (t, id);
   guint64 voters;
 
@@ -118,6 +125,8 @@
     delete_lease (t, id, row, voters);
 }
 
+/* The version of the voters' row that the holder of LEASE knows; 0 if
+ * unknown. */
 static guint64
 known_voters_version (const CcRow *lease)
 {
@@ -129,6 +138,8 @@
       json_node_get_object (root), "voters", 0);
 }
 
+/* Whether the holders of all LEASES know the present version of the voters'
+ * row. */
 static gboolean
 all_know_voters (const CcTakeover *t, const GPtrArray *leases)
 {
@@ -136,13 +147,14 @@
     {
       const CcRow *row = leases->pdata[i];
 
-      if (!g_str_equal (row->key, LEASE "assign") &&
+      if (!g_str_equal (row->key, LEASE_PREFIX "assign") &&
           known_voters_version (row) < t->voters_version)
         return FALSE;
     }
   return TRUE;
 }
 
+/* Handles the result of a write of the voters' row. */
 static void
 on_voters_written (CcStatus status, guint64 version, gpointer data)
 {
@@ -154,6 +166,7 @@
   cc_follower_poll (t->follower);
 }
 
+/* Reads the voters' row from the view if its version has changed. */
 static void
 read_voters (CcTakeover *t)
 {
@@ -166,6 +179,8 @@
   t->voters_version = row->version;
 }
 
+/* The registered dispatchers as CcVoterInfo, whose strings belong to the
+ * follower.  The caller unrefs the array. */
 static GPtrArray *
 list_members (const CcTakeover *t)
 {
@@ -186,6 +201,8 @@
   return members;
 }
 
+/* Changes the voters' row by one voter if the members call for it, but not
+ * before all dispatchers know the previous change (voters.h). */
 static void
 update_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
 {
@@ -214,13 +231,14 @@
 void
 cc_takeover_tick (CcTakeover *t, gboolean active, gint64 now)
 {
-  g_autoptr (GPtrArray) leases = cc_view_list (&t->follower->view, LEASE);
+  g_autoptr (GPtrArray) leases =
+      cc_view_list (&t->follower->view, LEASE_PREFIX);
 
   for (guint i = 0; i < leases->len; i++)
     {
       const CcRow *row = leases->pdata[i];
 
-      if (!g_str_equal (row->key, LEASE "assign"))
+      if (!g_str_equal (row->key, LEASE_PREFIX "assign"))
         check_lease (t, row, active, now);
     }
   if (active)
--- a/tenure.c
+++ b/tenure.c
@@ -27,6 +27,7 @@
   return g_strconcat ("member/", t->id, NULL);
 }
 
+/* Changes to a new id, whose lease is not held. */
 static void
 choose_id (CcTenure *t)
 {
@@ -63,6 +64,8 @@
   return cc_lease_is_valid (&t->lease, now);
 }
 
+/* Reports through CHANGED, the log and the metrics whether the lease is
+ * held. */
 static void
 report_state (CcTenure *t)
 {
@@ -78,6 +81,7 @@
   t->changed (t, held, t->data);
 }
 
+/* The value of the member row.  The caller frees it. */
 static char *
 member_value (const CcTenure *t)
 {
@@ -100,6 +104,7 @@
   return json_to_string (root, FALSE);
 }
 
+/* Abandons the id after its row was deleted, and chooses a new one. */
 static void
 lose_lease (CcTenure *t)
 {
@@ -128,6 +133,8 @@
           (t->lease.valid_until - now) / CC_MS);
 }
 
+/* Handles the result of a write of the lease row.  With CC_UNKNOWN or
+ * CC_CONFLICT the row is read before the next write. */
 static void
 on_written (CcStatus status, guint64 version, gpointer data)
 {
@@ -179,6 +186,7 @@
   cc_platform_commit (t->platform, x, on_written, t);
 }
 
+/* The sequence in the VALUE of a lease row; 0 if it is malformed. */
 static guint64
 sequence_in (const char *value)
 {
@@ -190,6 +198,8 @@
       json_node_get_object (root), "sequence", 0);
 }
 
+/* Determines from ROWS whether the last write was applied: finds the own lease
+ * row, or loses the lease if there is none. */
 static void
 check_row (CcTenure *t, GVariant *rows)
 {
@@ -209,6 +219,7 @@
   lose_lease (t);
 }
 
+/* Handles the result of a read of the lease row. */
 static void
 on_read (CcStatus status, guint64 since, guint64 upto, GVariant *rows,
          gpointer data)
@@ -225,6 +236,8 @@
   report_state (t);
 }
 
+/* Handles the result of the deletion of the rows, which is not repeated:
+ * without it the lease lapses. */
 static void
 on_deleted (CcStatus status, guint64 version, gpointer data)
 {
@@ -236,6 +249,7 @@
   t->closed = TRUE;
 }
 
+/* Ends the lease and deletes both rows. */
 static void
 delete_rows (CcTenure *t)
 {
@@ -250,6 +264,7 @@
   cc_platform_commit (t->platform, x, on_deleted, t);
 }
 
+/* Does the next step, unless a call to the platform is in progress. */
 static gboolean
 on_tick (gpointer data)
 {
--- a/test/test_promise.c
+++ b/test/test_promise.c
@@ -142,7 +142,7 @@
   char id[] = { (char) m->registration, 0 };
 
   if (w->omit == OMIT_QUIET)
-    v->quiet_until = 0;
+    v->reject_until = 0;
   if (m->what == CC_VOTE_REQUEST)
     return cc_voter_promise (v, id, m->version, now);
   if (w->omit == OMIT_LIVE)
--- a/voters.c
+++ b/voters.c
@@ -16,6 +16,7 @@
 
 #include "promise.h"
 
+/* Frees a CcVoterInfo. */
 static void
 voter_free (gpointer data)
 {
@@ -26,6 +27,7 @@
   g_free (v);
 }
 
+/* Appends a voter to VOTERS, with copies of the strings. */
 static void
 add_voter (GPtrArray *voters, const char *address, const char *zone)
 {
@@ -91,6 +93,7 @@
   return FALSE;
 }
 
+/* How many of VOTERS are in ZONE. */
 static guint
 count_in_zone (const GPtrArray *voters, const char *zone)
 {
@@ -120,6 +123,7 @@
   return best;
 }
 
+/* Records for each voter whether, and since when, it has no member row. */
 static void
 update_missing (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
@@ -134,6 +138,8 @@
     }
 }
 
+/* Removes the first voter that has had no member row for CC_VOTER_MISSING_MAX.
+ * Returns whether there was one. */
 static gboolean
 remove_missing (GPtrArray *voters, gint64 now)
 {
@@ -150,6 +156,8 @@
   return FALSE;
 }
 
+/* Adds the next voter, unless all members vote or CC_VOTERS_MAX is reached.
+ * Returns whether it did. */
 static gboolean
 add_one (GPtrArray *voters, const GPtrArray *members)
 {
--- a/voting.c
+++ b/voting.c
@@ -79,6 +79,7 @@
   return v;
 }
 
+/* Reads the voters' row from the view if its version has changed. */
 static void
 read_voters (CcVoting *v)
 {
@@ -91,6 +92,9 @@
   v->voters = cc_voters_parse (row->value);
 }
 
+/* Sends a request about lease ID at VERSION, or the answer to one, to the
+ * process at ADDRESS.  TO is its incarnation, 0 if any; NUMBER identifies the
+ * request. */
 static void
 send_vote (CcVoting *v, const char *address, guint64 to, CcVoteKind what,
            const char *id, guint64 version, guint64 number)
@@ -107,6 +111,8 @@
   cc_mailbox_send (v->mailbox, address, &m);
 }
 
+/* Begins a request WHAT about lease ID at VERSION and sends it to all
+ * voters. */
 static void
 send_to_voters (CcVoting *v, CcBallot *b, CcVoteKind what, const char *id,
                 guint64 version, gint64 now)
@@ -134,6 +140,8 @@
                   now);
 }
 
+/* Handles a promise: extends the lease when a majority has promised.  The
+ * extension counts from when the request was sent. */
 static void
 on_promised (CcVoting *v, const CcMessage *m)
 {
@@ -155,6 +163,7 @@
   cc_ballot_clear (&v->promises);
 }
 
+/* Handles a voter's answer to a request to release a lease. */
 static void
 on_released (CcVoting *v, const CcMessage *m)
 {
@@ -193,8 +202,9 @@
          now >= v->no_majority_since + ISOLATED_AFTER;
 }
 
+/* Handles a holder's or an assigner's request and sends the answer. */
 static void
-vote (CcVoting *v, const CcMessage *m)
+handle_request (CcVoting *v, const CcMessage *m)
 {
   const CcMsgVote *request = &m->u.vote;
   gint64 now = cc_clock_now ();
@@ -223,7 +233,7 @@
     case CC_VOTE_REQUEST:
     case CC_VOTE_RELEASE:
       if (v->tenure != NULL)
-        vote (v, m);
+        handle_request (v, m);
       break;
     case CC_VOTE_PROMISED:
       if (v->tenure != NULL)
