--- a/lease.c
+++ b/lease.c
@@ -88,10 +88,10 @@
   cc_lease_init (l);
 }
 
-/* Extends the lease to a term after REQUESTED_AT, when a majority of the voters
- * was requested to promise that nobody takes over; they have promised it.  Has
- * no effect if the lease has lapsed by NOW: a late promise may come from a
- * voter that restarted and lost its record of having released the lease. */
+/* Extends the lease to a term after REQUESTED_AT, when the promises that a
+ * majority of the voters has now given were requested.  Has no effect if the
+ * lease has lapsed by NOW: a late promise may come from a voter that restarted
+ * and lost its record of having released the lease. */
 void
 cc_lease_extend (CcLease *l, gint64 requested_at, gint64 now)
 {
--- a/lease.h
+++ b/lease.h
@@ -10,9 +10,9 @@
  * limit within which a key must be served again after its holder is lost. */
 #define CC_LEASE_TERM (1600 * CC_MS)
 
-/* A holder renews four times in a term, so three renewals in a row may be lost.
- * Promises (promise.h) bridge a longer outage of the platform, which allows
- * for this short a term. */
+/* A holder renews four times in a term, so that three lost renewals in a row
+ * have no effect.  The term can be this short because promises (promise.h)
+ * extend the lease while the platform is slow or down for longer. */
 #define CC_LEASE_PERIOD (400 * CC_MS)
 
 /* A watcher waits this much longer than the term.  The BOOTTIME clocks of two
--- a/takeover.c
+++ b/takeover.c
@@ -201,8 +201,8 @@
   return members;
 }
 
-/* Changes the voters' row by one voter if the members call for it, but not
- * before all dispatchers know the previous change (voters.h). */
+/* Writes the voters' row if the set of voters has to change, but not before all
+ * dispatchers know the previous change (voters.h). */
 static void
 update_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
 {
--- a/test/test_outcome_transfer.c
+++ b/test/test_outcome_transfer.c
@@ -1,7 +1,6 @@
 /* Guards against a request that runs twice, and, if nothing is lost, against a
- * repeat that is answered "unknown" after a move: slices and servers move among
- * processes that are frozen or lose their lease, and messages are lost or late.
- */
+ * repeat answered "unknown" after a move: slices and servers move among
+ * processes that freeze or lose their lease, and messages are lost or late. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdint.h>
--- a/voting.h
+++ b/voting.h
@@ -1,5 +1,4 @@
-/* Exchanges the vote messages about leases between dispatchers and assigners.
- */
+/* Messages between dispatchers and assigners for votes on leases. */
 #ifndef CC_VOTING_H
 #define CC_VOTING_H
 
