--- a/admin.c
+++ b/admin.c
@@ -171,7 +171,7 @@
  * it, and looks at every kept connection for every new one: at 500 new ones a
  * second that took a whole core. */
 void
-cc_http_once (SoupMessage *m)
+cc_http_use_new_connection (SoupMessage *m)
 {
   soup_message_add_flags (m, SOUP_MESSAGE_NEW_CONNECTION |
                                  SOUP_MESSAGE_NO_REDIRECT);
--- a/admin.h
+++ b/admin.h
@@ -16,7 +16,7 @@
 void cc_http_answer (SoupServerMessage *m, guint status, const char *type,
                      const char *body);
 SoupSession *cc_http_client (const char *source, guint per_host);
-void cc_http_once (SoupMessage *m);
+void cc_http_use_new_connection (SoupMessage *m);
 void cc_run_until_signal (GSourceFunc stop, gpointer data);
 
 #endif
--- a/assign.c
+++ b/assign.c
@@ -168,10 +168,10 @@
       const CcInstance *one = a->listed->pdata[i];
 
       if (g_str_equal (one->role, pool->name))
-        cc_roster_add_server (r, one->name, one->address, one->zone,
-                              one->leaving ||
-                                  cc_drain_is_ordered (&a->follower->view,
-                                                       pool->name, one->name));
+        cc_roster_add_server (
+            r, one->name, one->address, one->zone,
+            one->leaving || cc_drain_is_requested (&a->follower->view,
+                                                   pool->name, one->name));
       else if (g_str_equal (one->role, "entry"))
         cc_roster_add_instance (r, one->name);
     }
--- a/callers.c
+++ b/callers.c
@@ -138,7 +138,7 @@
   gboolean well = e->kind == CC_END_ANSWER && e->status < 500 && e->leaving < 0;
   CcEventKind kind = well ? CC_EVENT_SERVED : CC_EVENT_FAILED;
 
-  if (!cc_event_may (kind))
+  if (!cc_event_allowed (kind))
     return;
   cc_event (kind, "request-ended", "request", r->caller.id, "route", r->route,
             "pool", r->pool, "outcome", kinds[e->kind], "reason", e->reason,
@@ -408,7 +408,7 @@
     refuse (c, m, &no_configuration, &info, NULL);
   else if (route == NULL)
     refuse (c, m, &no_route, &info, NULL);
-  else if (cc_hangup_has (soup_server_message_get_socket (m)))
+  else if (cc_hangup_detected (soup_server_message_get_socket (m)))
     refuse (c, m, &cancelled, &info, route);
   else if ((pool = cc_route_next_pool (route)) == NULL)
     refuse (c, m, &no_pool, &info, route);
--- a/config_api.c
+++ b/config_api.c
@@ -156,7 +156,7 @@
     {
       d = cc_document_parse (text, (gssize) size, &f);
       if (d != NULL && api->follower->document != NULL)
-        cc_document_compare (api->follower->document, d, &f);
+        cc_document_check_update (api->follower->document, d, &f);
       cc_document_free (d);
     }
   good = cc_findings_count (&f) == 0;
@@ -237,7 +237,7 @@
     return;
   if (g_str_equal (method, "PUT"))
     {
-      if (!cc_operator_may_order (m, api->token))
+      if (!cc_operator_authorize (m, api->token))
         return;
       submit (api, m, query != NULL && g_hash_table_contains (query, CHECK));
       return;
@@ -309,7 +309,7 @@
   api->follower = f;
   api->platform = p;
   api->token = g_strdup (token);
-  cc_operator_limit (admin, "/v1/config");
+  cc_operator_limit_body (admin, "/v1/config");
   soup_server_add_handler (admin, "/v1/config", on_config, api, NULL);
   soup_server_add_handler (admin, "/v1/view", on_view, api, api_free);
 }
--- a/dispatch.c
+++ b/dispatch.c
@@ -82,7 +82,7 @@
   CcServer *s;
 
   if (one->term > 1 && pool != NULL)
-    quiet_at += cc_document_longest (d->follower->document, m->pool);
+    quiet_at += cc_document_longest_timeout (d->follower->document, m->pool);
   s = cc_server_new (&d->shared, cc_holding_new (m->pool, one, checks,
                                                  cc_clock_now (), quiet_at));
   g_hash_table_insert (d->servers, g_strconcat (m->pool, "/", one->name, NULL),
--- a/document.c
+++ b/document.c
@@ -284,8 +284,8 @@
 /* Adds to F what must not change between two documents: the number of a pool's
  * slices, since every key's slice depends on it. */
 void
-cc_document_compare (const CcDocument *before, const CcDocument *after,
-                     CcFindings *f)
+cc_document_check_update (const CcDocument *before, const CcDocument *after,
+                          CcFindings *f)
 {
   for (guint i = 0; i < after->pools->len; i++)
     {
@@ -345,7 +345,7 @@
 
 /* The longest timeout of POOL's classes, us: no attempt outlives it. */
 gint64
-cc_document_longest (const CcDocument *d, const char *pool)
+cc_document_longest_timeout (const CcDocument *d, const char *pool)
 {
   gint64 longest = 0;
 
--- a/document.h
+++ b/document.h
@@ -45,11 +45,11 @@
 } CcDocument;
 
 CcDocument *cc_document_parse (const char *json, gssize length, CcFindings *f);
-void cc_document_compare (const CcDocument *before, const CcDocument *after,
-                          CcFindings *f);
+void cc_document_check_update (const CcDocument *before,
+                               const CcDocument *after, CcFindings *f);
 void cc_document_free (CcDocument *d);
 const CcPool *cc_document_pool (const CcDocument *d, const char *name);
 const CcClass *cc_document_class (const CcDocument *d, const char *name);
-gint64 cc_document_longest (const CcDocument *d, const char *pool);
+gint64 cc_document_longest_timeout (const CcDocument *d, const char *pool);
 
 #endif
--- a/drain_api.c
+++ b/drain_api.c
@@ -42,7 +42,7 @@
 
 /* Whether an operator wants SERVER of POOL drained, as far as V knows. */
 gboolean
-cc_drain_is_ordered (const CcView *v, const char *pool, const char *server)
+cc_drain_is_requested (const CcView *v, const char *pool, const char *server)
 {
   g_autofree char *key = key_of (pool, server);
 
@@ -125,7 +125,7 @@
   if (!drain && !g_str_equal (method, "DELETE"))
     cc_operator_answer_error (m, SOUP_STATUS_METHOD_NOT_ALLOWED,
                               "use PUT or DELETE", 0);
-  else if (!cc_operator_may_order (m, api->token))
+  else if (!cc_operator_authorize (m, api->token))
     return;
   else if (g_strv_length (parts) != 5)
     cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
@@ -157,6 +157,6 @@
   api->follower = f;
   api->platform = p;
   api->token = g_strdup (token);
-  cc_operator_limit (admin, PATH);
+  cc_operator_limit_body (admin, PATH);
   soup_server_add_handler (admin, PATH, on_drain, api, api_free);
 }
--- a/drain_api.h
+++ b/drain_api.h
@@ -9,7 +9,7 @@
 
 void cc_drain_api_add (SoupServer *admin, CcFollower *f, CcPlatform *p,
                        const char *token);
-gboolean cc_drain_is_ordered (const CcView *v, const char *pool,
-                              const char *server);
+gboolean cc_drain_is_requested (const CcView *v, const char *pool,
+                                const char *server);
 
 #endif
--- a/entry.c
+++ b/entry.c
@@ -298,7 +298,7 @@
   if (e->follower->document == NULL)
     refuse_early (m, SOUP_STATUS_SERVICE_UNAVAILABLE, "starting",
                   "no configuration yet", STARTING_WAIT_MS);
-  else if (cc_hangup_has (soup_server_message_get_socket (m)))
+  else if (cc_hangup_detected (soup_server_message_get_socket (m)))
     refuse_early (m, SOUP_STATUS_BAD_REQUEST, "cancelled",
                   "the caller has gone", 0);
   else
--- a/event_log.c
+++ b/event_log.c
@@ -181,7 +181,7 @@
 /* Whether a line of KIND would be written now, to spare its making; counts a
  * dropped line if not. */
 gboolean
-cc_event_may (CcEventKind kind)
+cc_event_allowed (CcEventKind kind)
 {
   if (events.file < 0)
     return FALSE;
@@ -201,7 +201,7 @@
   const char *name;
   va_list args;
 
-  if (!cc_event_may (kind))
+  if (!cc_event_allowed (kind))
     return;
   events.kinds[kind].tokens -= 1.0;
   if (events.kinds[kind].dropped > events.kinds[kind].told &&
--- a/event_log.h
+++ b/event_log.h
@@ -19,6 +19,6 @@
 void cc_event_flush (void);
 const char *cc_event_int (gint64 number);
 guint64 cc_event_dropped (CcEventKind kind);
-gboolean cc_event_may (CcEventKind kind);
+gboolean cc_event_allowed (CcEventKind kind);
 
 #endif
--- a/fd_watch.c
+++ b/fd_watch.c
@@ -83,7 +83,7 @@
 
 /* Changes the conditions of W, which runs, to WANTS. */
 void
-cc_fd_watch_want (CcFdWatch *w, GIOCondition wants)
+cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition wants)
 {
   if (w->wants == wants)
     return;
--- a/fd_watch.h
+++ b/fd_watch.h
@@ -16,7 +16,7 @@
 void cc_fd_watch_start (CcFdWatch *w, int fd, GIOCondition wants,
                         void (*ready) (GIOCondition seen, gpointer data),
                         gpointer data);
-void cc_fd_watch_want (CcFdWatch *w, GIOCondition wants);
+void cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition wants);
 void cc_fd_watch_stop (CcFdWatch *w);
 
 #endif
--- a/gateway.c
+++ b/gateway.c
@@ -429,7 +429,7 @@
   Gateway *g = data;
   const CcRoutes *routes = cc_callers_routes (g->callers);
   gint64 now = cc_clock_now ();
-  gint64 resident = cc_process_resident ();
+  gint64 resident = cc_process_resident_bytes ();
 
   cc_metrics_gauge ("capercrank_requests_pending", "",
                     cc_callers_pending (g->callers));
@@ -598,7 +598,7 @@
   g->mirror = cc_mirror_new (&following);
   joining.table = g->table;
   g->members = cc_members_new (&joining);
-  cc_metrics_collect (on_metrics, g);
+  cc_metrics_set_collector (on_metrics, g);
   return TRUE;
 }
 
--- a/hangup.c
+++ b/hangup.c
@@ -25,7 +25,7 @@
 /* Whether the other end of SOCKET has closed its side, or the connection has
  * failed. */
 gboolean
-cc_hangup_has (GSocket *socket)
+cc_hangup_detected (GSocket *socket)
 {
   struct pollfd p = { .fd = g_socket_get_fd (socket), .events = POLLRDHUP };
 
@@ -74,7 +74,8 @@
  * or the connection has failed; unless cc_hangup_stop comes first.  GONE may
  * free H, but no other. */
 void
-cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupGone gone, gpointer data)
+cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupCallback gone,
+                 gpointer data)
 {
   if (all == NULL)
     {
--- a/hangup.h
+++ b/hangup.h
@@ -4,7 +4,7 @@
 
 #include <gio/gio.h>
 
-typedef void (*CcHangupGone) (gpointer data);
+typedef void (*CcHangupCallback) (gpointer data);
 
 /* One watched connection; lies inside its owner. */
 typedef struct
@@ -12,12 +12,12 @@
   gboolean watched;
   guint index; /* in the list of all, if watched */
   int file;
-  CcHangupGone gone;
+  CcHangupCallback gone;
   gpointer data;
 } CcHangup;
 
-gboolean cc_hangup_has (GSocket *socket);
-void cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupGone gone,
+gboolean cc_hangup_detected (GSocket *socket);
+void cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupCallback gone,
                       gpointer data);
 void cc_hangup_stop (CcHangup *h);
 
--- a/http_link.c
+++ b/http_link.c
@@ -384,14 +384,14 @@
         }
       if (g_error_matches (error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
         {
-          cc_fd_watch_want (&c->watch, G_IO_IN | G_IO_OUT);
+          cc_fd_watch_set_conditions (&c->watch, G_IO_IN | G_IO_OUT);
           return TRUE;
         }
       /* A write that the kernel refused may follow bytes of an earlier one. */
       fail (call, "write-failed");
       return FALSE;
     }
-  cc_fd_watch_want (&c->watch, G_IO_IN);
+  cc_fd_watch_set_conditions (&c->watch, G_IO_IN);
   return TRUE;
 }
 
@@ -526,7 +526,7 @@
       /* The first write is left to the main loop, so that DONE is never called
        * before this returns. */
       cc_timer_start (&call->timer, o->answer_within, on_time, call);
-      cc_fd_watch_want (&c->watch, G_IO_IN | G_IO_OUT);
+      cc_fd_watch_set_conditions (&c->watch, G_IO_IN | G_IO_OUT);
     }
   else
     {
--- a/http_pool.c
+++ b/http_pool.c
@@ -73,7 +73,7 @@
   c->used = TRUE;
   c->idle_since = cc_clock_now ();
   g_ptr_array_add (c->peer->idle, c);
-  cc_fd_watch_want (&c->watch, G_IO_IN);
+  cc_fd_watch_set_conditions (&c->watch, G_IO_IN);
 }
 
 /* A kept connection was silent or dead: so may be all that are kept from the
--- a/metrics.c
+++ b/metrics.c
@@ -187,7 +187,7 @@
 /* COLLECT is called with DATA each time before the series are printed.  Gauges
  * that it sets cost nothing while nobody reads them. */
 void
-cc_metrics_collect (CcMetricsCollect collect, gpointer data)
+cc_metrics_set_collector (CcMetricsCollect collect, gpointer data)
 {
   collector = collect;
   collector_data = data;
--- a/metrics.h
+++ b/metrics.h
@@ -26,7 +26,7 @@
 /* Called before the series are printed, to set the gauges. */
 typedef void (*CcMetricsCollect) (gpointer data);
 
-void cc_metrics_collect (CcMetricsCollect collect, gpointer data);
+void cc_metrics_set_collector (CcMetricsCollect collect, gpointer data);
 char *cc_metrics_text (void);
 
 #endif
--- a/mirror.c
+++ b/mirror.c
@@ -131,7 +131,7 @@
 
   if (status == CC_OK)
     {
-      cc_version_clock_note (&t->mirror->clock, upto, answered);
+      cc_version_clock_record (&t->mirror->clock, upto, answered);
       t->answered = answered;
     }
   g_free (c);
@@ -629,7 +629,7 @@
 {
   CcMirrorTable *t = &m->tables[CC_TABLE_STATE];
 
-  cc_version_clock_note (&m->clock, version, sent);
+  cc_version_clock_record (&m->clock, version, sent);
   if (cc_mirror_put_rows (t, rows))
     cc_mirror_notify (t);
   if (t->complete)
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -226,7 +226,7 @@
   age = MAX (age, 0);
   way = longest_on_its_way (asked, held, now);
   if (mark > 0)
-    cc_version_clock_note (&m->clock, mark, now - way - mark_age);
+    cc_version_clock_record (&m->clock, mark, now - way - mark_age);
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     take_peer_table (&m->tables[i], &read[i]);
   peer_tables_clear (read);
--- a/operator_http.c
+++ b/operator_http.c
@@ -69,7 +69,7 @@
 
 /* Whether M carries TOKEN, or TOKEN is empty.  If not, M is answered. */
 gboolean
-cc_operator_may_order (SoupServerMessage *m, const char *token)
+cc_operator_authorize (SoupServerMessage *m, const char *token)
 {
   const char *given = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), "Authorization");
@@ -98,7 +98,7 @@
  * handler of the very path that a request's handler was added for, so each of
  * them needs its own. */
 void
-cc_operator_limit (SoupServer *admin, const char *path)
+cc_operator_limit_body (SoupServer *admin, const char *path)
 {
   soup_server_add_early_handler (admin, path, on_headers, NULL, NULL);
 }
--- a/operator_http.h
+++ b/operator_http.h
@@ -16,7 +16,7 @@
 void cc_operator_answer_error (SoupServerMessage *m, guint status,
                                const char *text, guint64 version);
 void cc_operator_answer_findings (SoupServerMessage *m, const CcFindings *f);
-gboolean cc_operator_may_order (SoupServerMessage *m, const char *token);
-void cc_operator_limit (SoupServer *admin, const char *path);
+gboolean cc_operator_authorize (SoupServerMessage *m, const char *token);
+void cc_operator_limit_body (SoupServer *admin, const char *path);
 
 #endif
--- a/platform.c
+++ b/platform.c
@@ -161,7 +161,7 @@
   c->platform = p;
   c->data = data;
   c->message = soup_message_new (method, url);
-  cc_http_once (c->message);
+  cc_http_use_new_connection (c->message);
   c->cancel = g_cancellable_new ();
   c->began = cc_clock_now ();
   c->allowed = p->timeout.current;
--- a/process.c
+++ b/process.c
@@ -6,7 +6,7 @@
 
 /* The memory that this process holds, bytes; 0 if the system does not say. */
 gint64
-cc_process_resident (void)
+cc_process_resident_bytes (void)
 {
   g_autofree char *text = NULL;
   long whole, resident;
--- a/process.h
+++ b/process.h
@@ -4,6 +4,6 @@
 
 #include <glib.h>
 
-gint64 cc_process_resident (void);
+gint64 cc_process_resident_bytes (void);
 
 #endif
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -143,7 +143,7 @@
       cc_findings_init (&f);
       a = cc_document_parse (pairs[i].before, -1, &f);
       b = cc_document_parse (pairs[i].after, -1, &f);
-      cc_document_compare (a, b, &f);
+      cc_document_check_update (a, b, &f);
       assert_int_equal (cc_findings_count (&f), pairs[i].findings);
       cc_document_free (a);
       cc_document_free (b);
@@ -162,7 +162,7 @@
   a = cc_document_parse (before, -1, &f);
   b = cc_document_parse (after, -1, &f);
   assert_true (a != NULL && b != NULL);
-  cc_document_compare (a, b, &f);
+  cc_document_check_update (a, b, &f);
   count = cc_findings_count (&f);
   cc_document_free (a);
   cc_document_free (b);
--- a/test/test_fd_watch.c
+++ b/test/test_fd_watch.c
@@ -111,7 +111,7 @@
   pair_open (p, G_IO_IN);
   turn ();
   assert_int_equal (p->calls, 0);
-  cc_fd_watch_want (&p->watch, G_IO_IN | G_IO_OUT);
+  cc_fd_watch_set_conditions (&p->watch, G_IO_IN | G_IO_OUT);
   turn ();
   assert_int_equal (p->seen, G_IO_OUT);
   pair_close (p);
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -569,7 +569,7 @@
       cc_view_put (&w.state, key, 1, text);
       changed = cc_view_rows (&w.state);
       cc_forwarder_ranges_changed (w.forwarder, &w.state, changed);
-      cc_version_clock_note (&clock, 5, cc_clock_now ());
+      cc_version_clock_record (&clock, 5, cc_clock_now ());
       cc_view_put (&w.view, "s1", 6, table[i].row);
       cc_clock_advance (table[i].heard_ms * CC_MS);
       cc_targets_update (&w.targets, &listed, decode, cc_clock_now (),
--- a/test/test_targets.c
+++ b/test/test_targets.c
@@ -219,11 +219,11 @@
       update (&t, &v, 0, CC_SECOND);
       one = cc_targets_find (&t, "u0");
       if (c->known_ms >= 0)
-        cc_version_clock_note (&clock, one->version,
-                               written - c->known_ms * CC_MS);
+        cc_version_clock_record (&clock, one->version,
+                                 written - c->known_ms * CC_MS);
       list (&v, 0, c->row);
       /* The newest answer names the row's version, and says nothing of it. */
-      cc_version_clock_note (&clock, one->version + 1, heard);
+      cc_version_clock_record (&clock, one->version + 1, heard);
       update_by (&t, &v, &clock, 0, heard);
       if ((c->serves_ms > 0 && !cc_targets_serves_keys (&t, one, end - 1)) ||
           cc_targets_serves_keys (&t, one, MAX (end, heard)))
--- a/test/test_version_clock.c
+++ b/test/test_version_clock.c
@@ -48,8 +48,8 @@
       gint64 after;
 
       for (guint n = 0; n < NOTES && c->notes[n].version != 0; n++)
-        cc_version_clock_note (&clock, c->notes[n].version,
-                               c->notes[n].at_ms * CC_MS);
+        cc_version_clock_record (&clock, c->notes[n].version,
+                                 c->notes[n].at_ms * CC_MS);
       after = cc_version_clock_written_after (&clock, c->version);
       if (after != (c->after_ms < 0 ? CC_LONG_AGO : c->after_ms * CC_MS))
         fail_msg ("%s: %" G_GINT64_FORMAT " us", c->name, after);
@@ -66,7 +66,7 @@
 
   (void) state;
   for (gint64 at = 0; at < 60 * CC_SECOND; at += 20 * CC_MS)
-    cc_version_clock_note (&clock, version++, at);
+    cc_version_clock_record (&clock, version++, at);
   assert_true (clock.count <= CC_VERSION_MARKS);
   assert_true (clock.marks[0].at < 57 * CC_SECOND);
   assert_int_equal (cc_version_clock_newest (&clock).version, version - 1);
--- a/upstream.c
+++ b/upstream.c
@@ -222,7 +222,7 @@
   a->data = data;
   soup_message_add_flags (message, SOUP_MESSAGE_NO_REDIRECT);
   if (o->once_only || o->fresh || !is_reusable (o->method))
-    cc_http_once (message);
+    cc_http_use_new_connection (message);
   if (o->body != NULL && g_bytes_get_size (o->body) > 0)
     soup_message_set_request_body_from_bytes (message, NULL, o->body);
   fill_headers (soup_message_get_request_headers (message), o);
@@ -287,7 +287,7 @@
   c->sent = cc_clock_now ();
   c->done = done;
   c->data = data;
-  cc_http_once (c->message);
+  cc_http_use_new_connection (c->message);
   c->timer = g_timeout_add (GRANT_TIMEOUT / CC_MS, on_control_timeout, c);
   return c;
 }
--- a/version_clock.c
+++ b/version_clock.c
@@ -14,7 +14,7 @@
 
 /* Notes that at AT, us, no version above VERSION had been written. */
 void
-cc_version_clock_note (CcVersionClock *c, guint64 version, gint64 at)
+cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at)
 {
   CcVersionMark *last = c->count > 0 ? &c->marks[c->count - 1] : NULL;
 
--- a/version_clock.h
+++ b/version_clock.h
@@ -25,7 +25,7 @@
 /* A time before all others. */
 #define CC_LONG_AGO G_MININT32
 
-void cc_version_clock_note (CcVersionClock *c, guint64 version, gint64 at);
+void cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at);
 gint64 cc_version_clock_written_after (const CcVersionClock *c,
                                        guint64 version);
 CcVersionMark cc_version_clock_newest (const CcVersionClock *c);
