--- a/ctl.h
+++ b/ctl.h
@@ -1,4 +1,4 @@
-/* The parts of capercrankctl. */
+/* Shared by the commands of capercrankctl: options, HTTP calls and output. */
 #ifndef CC_CTL_H
 #define CC_CTL_H
 
@@ -6,41 +6,41 @@
 #include <json-glib/json-glib.h>
 
 /* Exit codes. */
-#define CTL_DONE 0
-#define CTL_FAILED 1 /* refused, not reached, or a difference was found */
+#define CTL_OK 0
+#define CTL_FAILED 1 /* refused, unreachable, or diff found a difference */
 #define CTL_USAGE 2
 
-/* What the command line says. */
+/* Options of the command line, and settings from the environment. */
 typedef struct
 {
-  const char *control; /* admin address of a capercrank-assign, or NULL */
-  const char *token;   /* the operators' secret; "" if none */
-  gboolean json;       /* for scripts, in place of tables */
-  const char *base;    /* --if-version, or NULL */
-  guint rounds;        /* of follow; 0: until interrupted */
-  char **words;        /* of the command, after its name */
+  const char *control;    /* admin address of a capercrank-assign, or NULL */
+  const char *token;      /* the operators' secret; "" if none */
+  gboolean json;          /* print JSON in place of tables */
+  const char *if_version; /* --if-version, or NULL */
+  guint rounds;           /* samples that follow prints; 0: until interrupted */
+  char **args;            /* arguments after the command name; ends with NULL */
 } CtlOptions;
 
-/* An answer over HTTP. */
+/* An HTTP response. */
 typedef struct
 {
-  guint status; /* 0: there was none, and the reason has been printed */
+  guint status; /* 0: no response; the reason has been printed */
   char *body;
-  char *etag; /* NULL if there was none */
-} CtlAnswer;
+  char *etag; /* NULL if the header is missing */
+} CtlResponse;
 
 /* A table: printed with aligned columns, or as JSON. */
 typedef struct
 {
   const char *const *columns; /* ends with NULL */
-  GPtrArray *rows;            /* of char *[], as long as the columns */
+  GPtrArray *rows;            /* of char *[], one string for each column */
 } CtlTable;
 
-void ctl_answer_clear (CtlAnswer *a);
-CtlAnswer ctl_call (const CtlOptions *o, const char *address,
-                    const char *method, const char *path, const char *body,
-                    const char *if_match);
-int ctl_report (const CtlOptions *o, const CtlAnswer *a);
+void ctl_response_clear (CtlResponse *a);
+CtlResponse ctl_call (const CtlOptions *o, const char *address,
+                      const char *method, const char *path, const char *body,
+                      const char *if_match);
+int ctl_report (const CtlOptions *o, const CtlResponse *a);
 
 void ctl_table_init (CtlTable *t, const char *const *columns);
 void ctl_table_add (CtlTable *t, ...);
--- a/ctl_call.c
+++ b/ctl_call.c
@@ -1,4 +1,4 @@
-/* capercrankctl's HTTP calls, and how their failures are told. */
+/* HTTP requests of capercrankctl, and the report of those that fail. */
 #include "ctl.h"
 
 #include <stdio.h>
@@ -6,13 +6,14 @@
 
 #include <libsoup/soup.h>
 
-/* Longer than the platform's timeout and one read after it, so that the
- * assigner's own verdict on a slow platform arrives. */
-#define TIMEOUT_S 10
+/* Longer than the assigner's timeout for a call to the platform plus the read
+ * that follows it, so that the assigner reports a slow platform before this
+ * client gives up. */
+#define REQUEST_TIMEOUT_S 10
 
-/* Frees what A holds. */
+/* Frees the members of A. */
 void
-ctl_answer_clear (CtlAnswer *a)
+ctl_response_clear (CtlResponse *a)
 {
   g_clear_pointer (&a->body, g_free);
   g_clear_pointer (&a->etag, g_free);
@@ -30,19 +31,20 @@
     soup_message_headers_append (h, "Authorization", bearer);
 }
 
-/* One call to ADDRESS (IP:PORT).  BODY and IF_MATCH may be NULL.  Without an
- * answer the status is 0 and the reason has been printed. */
-CtlAnswer
+/* Sends one request to ADDRESS (IP:PORT) and waits for the response.  BODY and
+ * IF_MATCH may be NULL.  Without a response the status is 0 and the reason has
+ * been printed.  The caller frees the result by ctl_response_clear. */
+CtlResponse
 ctl_call (const CtlOptions *o, const char *address, const char *method,
           const char *path, const char *body, const char *if_match)
 {
-  CtlAnswer a = { 0 };
+  CtlResponse a = { 0 };
   g_autofree char *url = g_strconcat ("http://", address, path, NULL);
   g_autoptr (SoupSession) s =
-      soup_session_new_with_options ("timeout", TIMEOUT_S, NULL);
+      soup_session_new_with_options ("timeout", REQUEST_TIMEOUT_S, NULL);
   g_autoptr (SoupMessage) m = soup_message_new (method, url);
   g_autoptr (GError) error = NULL;
-  g_autoptr (GBytes) got = NULL;
+  g_autoptr (GBytes) received = NULL;
 
   if (body != NULL)
     {
@@ -51,15 +53,16 @@
       soup_message_set_request_body_from_bytes (m, "application/json", bytes);
     }
   add_headers (m, o, if_match);
-  got = soup_session_send_and_read (s, m, NULL, &error);
-  if (got == NULL)
+  received = soup_session_send_and_read (s, m, NULL, &error);
+  if (received == NULL)
     {
       fprintf (stderr, "capercrankctl: %s can't be reached: %s\n", address,
                error->message);
       return a;
     }
   a.status = soup_message_get_status (m);
-  a.body = g_strndup (g_bytes_get_data (got, NULL), g_bytes_get_size (got));
+  a.body = g_strndup (g_bytes_get_data (received, NULL),
+                      g_bytes_get_size (received));
   a.etag = g_strdup (soup_message_headers_get_one (
       soup_message_get_response_headers (m), "ETag"));
   return a;
@@ -72,16 +75,17 @@
 
   for (guint i = 0; i < json_array_get_length (list); i++)
     {
-      JsonObject *one = json_array_get_object_element (list, i);
+      JsonObject *finding = json_array_get_object_element (list, i);
 
-      fprintf (stderr, "  %s: %s\n",
-               json_object_get_string_member_with_default (one, "place", ""),
-               json_object_get_string_member_with_default (one, "text", ""));
+      fprintf (
+          stderr, "  %s: %s\n",
+          json_object_get_string_member_with_default (finding, "place", ""),
+          json_object_get_string_member_with_default (finding, "text", ""));
     }
 }
 
 static void
-print_error (const CtlAnswer *a)
+print_error (const CtlResponse *a)
 {
   g_autoptr (JsonNode) root = json_from_string (a->body, NULL);
   JsonObject *o;
@@ -89,7 +93,8 @@
 
   if (root == NULL || !JSON_NODE_HOLDS_OBJECT (root))
     {
-      fprintf (stderr, "capercrankctl: answer %u: %s\n", a->status, a->body);
+      fprintf (stderr, "capercrankctl: unexpected response, status %u: %s\n",
+               a->status, a->body);
       return;
     }
   o = json_node_get_object (root);
@@ -105,14 +110,14 @@
     print_findings (o);
 }
 
-/* Tells what A says if it is no success.  Returns the exit code. */
+/* Prints the error in A if its status is not 200.  Returns the exit code. */
 int
-ctl_report (const CtlOptions *o, const CtlAnswer *a)
+ctl_report (const CtlOptions *o, const CtlResponse *a)
 {
   if (a->status == 0)
     return CTL_FAILED;
   if (a->status == SOUP_STATUS_OK)
-    return CTL_DONE;
+    return CTL_OK;
   if (o->json)
     fprintf (stderr, "%s\n", a->body);
   else
--- a/ctl_config.c
+++ b/ctl_config.c
@@ -20,7 +20,7 @@
 }
 
 static gboolean
-need_control (const CtlOptions *o)
+require_control (const CtlOptions *o)
 {
   if (o->control != NULL)
     return TRUE;
@@ -30,26 +30,26 @@
 }
 
 static char *
-newest_version (const CtlOptions *o)
+version_in_force (const CtlOptions *o)
 {
-  CtlAnswer a = ctl_call (o, o->control, "GET", "/v1/config", NULL, NULL);
+  CtlResponse a = ctl_call (o, o->control, "GET", "/v1/config", NULL, NULL);
   char *version = a.status == SOUP_STATUS_OK ? g_strdup (a.etag) : NULL;
 
   if (a.status != 0)
     ctl_report (o, &a);
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return version;
 }
 
 static int
 put_document (const CtlOptions *o, const char *text, const char *base)
 {
-  CtlAnswer a = ctl_call (o, o->control, "PUT", "/v1/config", text, base);
+  CtlResponse a = ctl_call (o, o->control, "PUT", "/v1/config", text, base);
   int code = ctl_report (o, &a);
 
-  if (code == CTL_DONE && o->json)
+  if (code == CTL_OK && o->json)
     printf ("%s\n", a.body);
-  else if (code == CTL_DONE)
+  else if (code == CTL_OK)
     {
       g_autoptr (JsonNode) root = json_from_string (a.body, NULL);
 
@@ -57,25 +57,27 @@
               json_object_get_int_member_with_default (
                   json_node_get_object (root), "version", 0));
     }
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return code;
 }
 
-/* submit FILE: replaces the version named by --if-version, or the newest. */
+/* submit FILE: replaces the version of --if-version, or the version in force at
+ * the time of the call if the flag is not given. */
 int
 ctl_submit (const CtlOptions *o)
 {
   g_autofree char *text = NULL;
   g_autofree char *base = NULL;
 
-  if (!need_control (o) || !read_file (o->words[0], &text))
+  if (!require_control (o) || !read_file (o->args[0], &text))
     return CTL_USAGE;
-  base = o->base != NULL ? g_strdup (o->base) : newest_version (o);
+  base =
+      o->if_version != NULL ? g_strdup (o->if_version) : version_in_force (o);
   return base != NULL ? put_document (o, text, base) : CTL_FAILED;
 }
 
 static int
-check_here (const char *text)
+check_locally (const char *text)
 {
   CcFindings f;
   guint n;
@@ -90,31 +92,33 @@
       fprintf (stderr, "%s", lines);
     }
   cc_findings_clear (&f);
-  return n > 0 ? CTL_FAILED : CTL_DONE;
+  return n > 0 ? CTL_FAILED : CTL_OK;
 }
 
 static int
-check_there (const CtlOptions *o, const char *text)
+check_at_assigner (const CtlOptions *o, const char *text)
 {
-  CtlAnswer a =
+  CtlResponse a =
       ctl_call (o, o->control, "PUT", "/v1/config?check=1", text, NULL);
   int code = ctl_report (o, &a);
 
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return code;
 }
 
-/* check FILE: by itself, and with --control against the document in force. */
+/* check FILE: validates the document; with --control the assigner does, and
+ * also compares it with the document in force. */
 int
 ctl_check (const CtlOptions *o)
 {
   g_autofree char *text = NULL;
   int code;
 
-  if (!read_file (o->words[0], &text))
+  if (!read_file (o->args[0], &text))
     return CTL_USAGE;
-  code = o->control != NULL ? check_there (o, text) : check_here (text);
-  if (code == CTL_DONE)
+  code =
+      o->control != NULL ? check_at_assigner (o, text) : check_locally (text);
+  if (code == CTL_OK)
     printf (o->json ? "{\"valid\":true}\n" : "the document is valid\n");
   return code;
 }
@@ -139,67 +143,67 @@
   ctl_table_clear (&t);
 }
 
-/* diff FILE: as diff(1), 1 if the document in force is another. */
+/* diff FILE: like diff(1), exits with 1 if the document in force differs. */
 int
 ctl_diff (const CtlOptions *o)
 {
   g_autofree char *text = NULL;
   g_autoptr (GPtrArray) changes = NULL;
-  CtlAnswer a;
+  CtlResponse a;
   int code;
 
-  if (!need_control (o) || !read_file (o->words[0], &text))
+  if (!require_control (o) || !read_file (o->args[0], &text))
     return CTL_USAGE;
-  if (check_here (text) != CTL_DONE)
+  if (check_locally (text) != CTL_OK)
     return CTL_FAILED;
   a = ctl_call (o, o->control, "GET", "/v1/config", NULL, NULL);
   code = ctl_report (o, &a);
-  if (code == CTL_DONE)
+  if (code == CTL_OK)
     {
       changes = cc_document_diff (a.body, text);
       print_changes (o, changes);
-      code = changes->len > 0 ? CTL_FAILED : CTL_DONE;
+      code = changes->len > 0 ? CTL_FAILED : CTL_OK;
     }
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return code;
 }
 
 static int
-order_drain (const CtlOptions *o, const char *method, const char *said)
+request_drain (const CtlOptions *o, const char *method, const char *state)
 {
   g_autofree char *path = NULL;
-  g_auto (GStrv) parts = g_strsplit (o->words[0], "/", -1);
-  CtlAnswer a;
+  g_auto (GStrv) parts = g_strsplit (o->args[0], "/", -1);
+  CtlResponse a;
   int code;
 
-  if (!need_control (o))
+  if (!require_control (o))
     return CTL_USAGE;
   if (g_strv_length (parts) != 2)
     {
       fprintf (stderr, "capercrankctl: \"%s\" is not POOL/SERVER\n",
-               o->words[0]);
+               o->args[0]);
       return CTL_USAGE;
     }
-  path = g_strconcat ("/v1/drain/", o->words[0], NULL);
+  path = g_strconcat ("/v1/drain/", o->args[0], NULL);
   a = ctl_call (o, o->control, method, path, "", NULL);
   code = ctl_report (o, &a);
-  if (code == CTL_DONE)
+  if (code == CTL_OK)
     printf (o->json ? "{\"server\":\"%s\",\"now\":\"%s\"}\n" : "%s %s\n",
-            o->words[0], said);
-  ctl_answer_clear (&a);
+            o->args[0], state);
+  ctl_response_clear (&a);
   return code;
 }
 
-/* drain POOL/SERVER: its keys move away, what is in flight ends. */
+/* drain POOL/SERVER: its keys move away, requests in flight finish. */
 int
 ctl_drain (const CtlOptions *o)
 {
-  return order_drain (o, "PUT", "drains");
+  return request_drain (o, "PUT", "drains");
 }
 
 /* undrain POOL/SERVER: it may own keys again. */
 int
 ctl_undrain (const CtlOptions *o)
 {
-  return order_drain (o, "DELETE", "takes keys again");
+  return request_drain (o, "DELETE", "takes keys again");
 }
--- a/ctl_follow.c
+++ b/ctl_follow.c
@@ -1,8 +1,9 @@
-/* capercrankctl follow: the counters that changed in the last second, and each
- * class against its target, over the admin ports that are named.
+/* capercrankctl follow: scrapes the admin ports given every second, and prints
+ * the counters that changed and each class's results against its target.
  *
- * Counters are added up.  Quantiles can't be: the worst port's is shown.  Of
- * versions the lowest is, since that port is the one to look at. */
+ * Counters are summed over the ports.  Quantiles can't be summed, so the
+ * highest is shown; of versions the lowest, since it belongs to the process
+ * that lags. */
 #include <math.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,11 +15,11 @@
 #include "document.h"
 #include "settings.h"
 
-#define PERIOD_S 1
+#define SAMPLE_PERIOD_S 1
 
-/* One round: series "name{labels}" to double. */
+/* One sample of all ports: series "name{labels}" to double. */
 static GHashTable *
-new_round (void)
+new_sample (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
@@ -30,61 +31,61 @@
 }
 
 static double
-joined (const char *series, double one, double other)
+combine (const char *series, double a, double b)
 {
   if (is_quantile (series))
-    return MAX (one, other);
-  return strstr (series, "_version{") != NULL ? MIN (one, other) : one + other;
+    return MAX (a, b);
+  return strstr (series, "_version{") != NULL ? MIN (a, b) : a + b;
 }
 
 static void
-add_line (GHashTable *round, const char *line)
+add_line (GHashTable *sample, const char *line)
 {
   const char *space = strrchr (line, ' ');
   g_autofree char *series = NULL;
-  double *known, value;
+  double *total, value;
 
   if (space == NULL || line[0] == '#')
     return;
   series = g_strndup (line, (gsize) (space - line));
   value = g_ascii_strtod (space, NULL);
-  known = g_hash_table_lookup (round, series);
-  if (known != NULL)
+  total = g_hash_table_lookup (sample, series);
+  if (total != NULL)
     {
-      *known = joined (series, *known, value);
+      *total = combine (series, *total, value);
       return;
     }
-  known = g_new0 (double, 1);
-  *known = value;
-  g_hash_table_insert (round, g_steal_pointer (&series), known);
+  total = g_new0 (double, 1);
+  *total = value;
+  g_hash_table_insert (sample, g_steal_pointer (&series), total);
 }
 
 static guint
-read_round (const CtlOptions *o, GHashTable *round)
+read_sample (const CtlOptions *o, GHashTable *sample)
 {
-  guint answered = 0;
+  guint responses = 0;
 
-  for (guint i = 0; o->words[i] != NULL; i++)
+  for (guint i = 0; o->args[i] != NULL; i++)
     {
-      CtlAnswer a = ctl_call (o, o->words[i], "GET", "/metrics", NULL, NULL);
+      CtlResponse a = ctl_call (o, o->args[i], "GET", "/metrics", NULL, NULL);
 
       if (a.status == SOUP_STATUS_OK)
         {
           g_auto (GStrv) lines = g_strsplit (a.body, "\n", -1);
 
           for (guint k = 0; lines[k] != NULL; k++)
-            add_line (round, lines[k]);
-          answered++;
+            add_line (sample, lines[k]);
+          responses++;
         }
-      ctl_answer_clear (&a);
+      ctl_response_clear (&a);
     }
-  return answered;
+  return responses;
 }
 
 static double
-value_of (GHashTable *round, const char *series)
+value_of (GHashTable *sample, const char *series)
 {
-  const double *v = g_hash_table_lookup (round, series);
+  const double *v = g_hash_table_lookup (sample, series);
 
   return v != NULL ? *v : 0;
 }
@@ -92,10 +93,10 @@
 static double
 rate_of (GHashTable *now, GHashTable *before, const char *series)
 {
-  return (value_of (now, series) - value_of (before, series)) / PERIOD_S;
+  return (value_of (now, series) - value_of (before, series)) / SAMPLE_PERIOD_S;
 }
 
-/* Requests of CLASS a second that had OUTCOME. */
+/* Requests of CLASS per second that ended with OUTCOME. */
 static double
 outcome_rate (GHashTable *now, GHashTable *before, const char *class,
               CcOutcome outcome)
@@ -108,12 +109,12 @@
 }
 
 static char *
-rounded (double v)
+format_rounded (double v)
 {
   return g_strdup_printf ("%.0f", v);
 }
 
-/* "99% in 100 ms", or "-" if there is no such class. */
+/* "99% in 100 ms", or "-" if C is NULL: the class is not in the document. */
 static char *
 target_text (const CcClass *c)
 {
@@ -124,7 +125,7 @@
 }
 
 static const char *
-verdict (const CcClass *c, double in_target, double all)
+target_result (const CcClass *c, double in_target, double all)
 {
   if (c == NULL || all <= 0)
     return "-";
@@ -148,15 +149,15 @@
   double unknown = outcome_rate (now, before, class, CC_OUTCOME_UNKNOWN);
   double in_target = rate_of (now, before, in_series);
   double all = run + not_run + unknown;
-  g_autofree char *run_text = rounded (run);
-  g_autofree char *not_run_text = rounded (not_run);
-  g_autofree char *unknown_text = rounded (unknown);
+  g_autofree char *run_text = format_rounded (run);
+  g_autofree char *not_run_text = format_rounded (not_run);
+  g_autofree char *unknown_text = format_rounded (unknown);
   g_autofree char *share =
       all > 0 ? g_strdup_printf ("%.1f%%", 100 * in_target / all)
               : g_strdup ("-");
 
   ctl_table_add (t, class, run_text, not_run_text, unknown_text, share, target,
-                 verdict (c, in_target, all), p99);
+                 target_result (c, in_target, all), p99);
 }
 
 static gint
@@ -165,15 +166,16 @@
   return strcmp (*(char *const *) a, *(char *const *) b);
 }
 
-/* The series of ROUND whose names start with PREFIX, sorted. */
+/* The series of SAMPLE whose names start with PREFIX, sorted.  SAMPLE owns the
+ * names. */
 static GPtrArray *
-series_with (GHashTable *round, const char *prefix)
+series_with (GHashTable *sample, const char *prefix)
 {
   GPtrArray *names = g_ptr_array_new ();
   GHashTableIter iter;
   gpointer name;
 
-  g_hash_table_iter_init (&iter, round);
+  g_hash_table_iter_init (&iter, sample);
   while (g_hash_table_iter_next (&iter, &name, NULL))
     if (g_str_has_prefix (name, prefix))
       g_ptr_array_add (names, name);
@@ -219,7 +221,7 @@
       const char *name = names->pdata[i];
       double v = value_of (now, name), change = v - value_of (before, name);
       g_autofree char *value = g_strdup_printf ("%g", v);
-      g_autofree char *rate = g_strdup_printf ("%+g", change / PERIOD_S);
+      g_autofree char *rate = g_strdup_printf ("%+g", change / SAMPLE_PERIOD_S);
 
       if (fabs (change) > 0 && !is_quantile (name))
         ctl_table_add (&t, name, value, rate);
@@ -229,24 +231,25 @@
 }
 
 static gboolean
-are_addresses (char **words)
+are_addresses (char **args)
 {
-  for (guint i = 0; words[i] != NULL; i++)
-    if (!cc_address_parse (words[i], NULL, NULL))
+  for (guint i = 0; args[i] != NULL; i++)
+    if (!cc_address_parse (args[i], NULL, NULL))
       {
-        fprintf (stderr, "capercrankctl: \"%s\" is not IP:PORT\n", words[i]);
+        fprintf (stderr, "capercrankctl: \"%s\" is not IP:PORT\n", args[i]);
         return FALSE;
       }
   return TRUE;
 }
 
-/* The document in force, or NULL: the targets are then left out. */
+/* The document in force.  NULL if it can't be read; targets are then shown as
+ * "-". */
 static CcDocument *
 read_document (const CtlOptions *o)
 {
   CcDocument *d = NULL;
   CcFindings f;
-  CtlAnswer a;
+  CtlResponse a;
 
   if (o->control == NULL)
     return NULL;
@@ -255,22 +258,22 @@
   if (a.status == SOUP_STATUS_OK)
     d = cc_document_parse (a.body, -1, &f);
   cc_findings_clear (&f);
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return d;
 }
 
-/* Prints what happened until a round that follows BEFORE, which is replaced.
- * Returns FALSE when no port answers. */
+/* Takes a sample one period after BEFORE, prints the differences and replaces
+ * BEFORE by it.  Returns FALSE if no port responds. */
 static gboolean
-follow_round (const CtlOptions *o, GHashTable **before)
+print_next_sample (const CtlOptions *o, GHashTable **before)
 {
-  GHashTable *now = new_round ();
+  GHashTable *now = new_sample ();
   CcDocument *d = read_document (o);
-  gboolean good;
+  gboolean responded;
 
-  sleep (PERIOD_S);
-  good = read_round (o, now) > 0;
-  if (good)
+  sleep (SAMPLE_PERIOD_S);
+  responded = read_sample (o, now) > 0;
+  if (responded)
     {
       print_classes (o, now, *before, d);
       print_counters (o, now, *before);
@@ -280,22 +283,22 @@
   cc_document_free (d);
   g_hash_table_unref (*before);
   *before = now;
-  return good;
+  return responded;
 }
 
 /* follow ADMIN...: prints once a second, --rounds times or until interrupted.
- * Fails when none of the ports answers. */
+ * Fails if none of the ports responds. */
 int
 ctl_follow (const CtlOptions *o)
 {
-  g_autoptr (GHashTable) before = new_round ();
+  g_autoptr (GHashTable) before = new_sample ();
 
-  if (!are_addresses (o->words))
+  if (!are_addresses (o->args))
     return CTL_USAGE;
-  if (read_round (o, before) == 0)
+  if (read_sample (o, before) == 0)
     return CTL_FAILED;
   for (guint i = 0; o->rounds == 0 || i < o->rounds; i++)
-    if (!follow_round (o, &before))
+    if (!print_next_sample (o, &before))
       return CTL_FAILED;
-  return CTL_DONE;
+  return CTL_OK;
 }
--- a/ctl_show.c
+++ b/ctl_show.c
@@ -1,4 +1,5 @@
-/* capercrankctl show: tables made from the rows that an assigner knows. */
+/* capercrankctl show: tables built from the rows of an assigner's view, and the
+ * document in force. */
 #include <stdio.h>
 #include <string.h>
 
@@ -15,34 +16,34 @@
   return (guint) state < G_N_ELEMENTS (names) ? names[state] : "?";
 }
 
-/* A row of the view that the walk is at. */
+/* The row of the view that is being printed. */
 typedef struct
 {
-  const char *key; /* without the prefix */
+  const char *key; /* without the prefix of its table */
   guint64 version;
   JsonNode *value;
-  JsonObject *view; /* all rows */
-} ShownRow;
+  JsonObject *view; /* all rows, by key */
+} ViewRow;
 
-typedef void (*AddRow) (CtlTable *t, const ShownRow *row);
+typedef void (*AddRow) (CtlTable *t, const ViewRow *row);
 
 static char *
-number (guint64 n)
+format_number (guint64 n)
 {
   return g_strdup_printf ("%" G_GUINT64_FORMAT, n);
 }
 
 static CcSliceMap *
-map_of (const ShownRow *row)
+parse_map (const ViewRow *row)
 {
   g_autofree char *text = json_to_string (row->value, FALSE);
 
   return cc_slicemap_parse (row->key, row->version, text);
 }
 
-/* Slices on their way to, or from, the server. */
+/* The number of slices that are moving to or from SERVER. */
 static guint
-moving_of (const CcSliceMap *m, gint32 server)
+count_moving (const CcSliceMap *m, gint32 server)
 {
   guint n = 0;
 
@@ -59,10 +60,10 @@
 add_owner (CtlTable *t, const CcSliceMap *m, gint32 index)
 {
   const CcMapServer *s = cc_slicemap_server (m, index);
-  g_autofree char *term = number (s->term);
-  g_autofree char *slices = number (cc_slicemap_owned (m, index));
-  g_autofree char *moving = number (moving_of (m, index));
-  g_autofree char *version = number (m->version);
+  g_autofree char *term = format_number (s->term);
+  g_autofree char *slices = format_number (cc_slicemap_owned (m, index));
+  g_autofree char *moving = format_number (count_moving (m, index));
+  g_autofree char *version = format_number (m->version);
 
   ctl_table_add (t, m->pool, s->name, state_name (s->state), s->dispatcher,
                  s->from[0] != '\0' ? s->from : "-", term, slices, moving,
@@ -70,9 +71,9 @@
 }
 
 static void
-add_owners (CtlTable *t, const ShownRow *row)
+add_owners (CtlTable *t, const ViewRow *row)
 {
-  CcSliceMap *m = map_of (row);
+  CcSliceMap *m = parse_map (row);
 
   for (gint32 i = 0; m != NULL && i < (gint32) m->servers->len; i++)
     add_owner (t, m, i);
@@ -80,9 +81,9 @@
 }
 
 static void
-add_servers (CtlTable *t, const ShownRow *row)
+add_servers (CtlTable *t, const ViewRow *row)
 {
-  CcSliceMap *m = map_of (row);
+  CcSliceMap *m = parse_map (row);
 
   for (guint i = 0; m != NULL && i < m->servers->len; i++)
     {
@@ -106,15 +107,15 @@
 }
 
 static void
-add_slices (CtlTable *t, const ShownRow *row)
+add_slices (CtlTable *t, const ViewRow *row)
 {
-  CcSliceMap *m = map_of (row);
+  CcSliceMap *m = parse_map (row);
 
   for (guint i = 0; m != NULL && i < m->slices->len; i++)
     {
       const CcMapSlice *s = cc_slicemap_at (m, i);
-      g_autofree char *slice = number (i);
-      g_autofree char *epoch = number (s->epoch);
+      g_autofree char *slice = format_number (i);
+      g_autofree char *epoch = format_number (s->epoch);
 
       ctl_table_add (t, m->pool, slice, server_name (m, s->server),
                      server_name (m, s->from), epoch);
@@ -123,13 +124,13 @@
 }
 
 static void
-add_lease (CtlTable *t, const ShownRow *row)
+add_lease (CtlTable *t, const ViewRow *row)
 {
   JsonObject *o = JSON_NODE_HOLDS_OBJECT (row->value)
                       ? json_node_get_object (row->value)
                       : NULL;
-  g_autofree char *version = number (row->version);
-  g_autofree char *renewals = number (
+  g_autofree char *version = format_number (row->version);
+  g_autofree char *renewals = format_number (
       o != NULL
           ? (guint64) json_object_get_int_member_with_default (o, "sequence", 0)
           : 0);
@@ -138,7 +139,7 @@
 }
 
 static void
-add_member (CtlTable *t, const ShownRow *row)
+add_member (CtlTable *t, const ViewRow *row)
 {
   JsonObject *o = JSON_NODE_HOLDS_OBJECT (row->value)
                       ? json_node_get_object (row->value)
@@ -157,16 +158,17 @@
       json_object_has_member (row->view, lease) ? "yes" : "no");
 }
 
-/* What can be shown: its rows, columns, and how a row becomes lines. */
+/* A table that can be shown: the key prefix of its rows, its columns, and the
+ * function that adds lines for one row. */
 typedef struct
 {
   const char *name;
   const char *prefix;
   const char *columns[11];
   AddRow add;
-} Shown;
+} TableKind;
 
-static const Shown all_shown[] = {
+static const TableKind table_kinds[] = {
   { "owners",
     "map/",
     { "pool", "server", "state", "dispatcher", "from", "term", "slices",
@@ -187,17 +189,17 @@
     add_member },
 };
 
-static const Shown *
-find_shown (const char *name)
+static const TableKind *
+find_table_kind (const char *name)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (all_shown); i++)
-    if (g_str_equal (all_shown[i].name, name))
-      return &all_shown[i];
+  for (guint i = 0; i < G_N_ELEMENTS (table_kinds); i++)
+    if (g_str_equal (table_kinds[i].name, name))
+      return &table_kinds[i];
   return NULL;
 }
 
 static void
-add_rows (CtlTable *t, const Shown *what, JsonObject *view)
+add_rows (CtlTable *t, const TableKind *kind, JsonObject *view)
 {
   JsonObjectIter iter;
   const char *key;
@@ -206,58 +208,58 @@
   json_object_iter_init_ordered (&iter, view);
   while (json_object_iter_next_ordered (&iter, &key, &node))
     {
-      ShownRow row = { .view = view };
+      ViewRow row = { .view = view };
       JsonObject *o;
 
-      if (!g_str_has_prefix (key, what->prefix))
+      if (!g_str_has_prefix (key, kind->prefix))
         continue;
       o = json_node_get_object (node);
-      row.key = key + strlen (what->prefix);
+      row.key = key + strlen (kind->prefix);
       row.version = (guint64) json_object_get_int_member (o, "version");
       row.value = json_object_get_member (o, "value");
-      what->add (t, &row);
+      kind->add (t, &row);
     }
 }
 
 static int
-show_table (const CtlOptions *o, const Shown *what)
+show_table (const CtlOptions *o, const TableKind *kind)
 {
-  CtlAnswer a = ctl_call (o, o->control, "GET", "/v1/view", NULL, NULL);
+  CtlResponse a = ctl_call (o, o->control, "GET", "/v1/view", NULL, NULL);
   int code = ctl_report (o, &a);
   g_autoptr (JsonNode) root =
-      code == CTL_DONE ? json_from_string (a.body, NULL) : NULL;
+      code == CTL_OK ? json_from_string (a.body, NULL) : NULL;
   CtlTable t;
 
   if (root != NULL && JSON_NODE_HOLDS_OBJECT (root))
     {
-      ctl_table_init (&t, what->columns);
-      add_rows (&t, what, json_node_get_object (root));
+      ctl_table_init (&t, kind->columns);
+      add_rows (&t, kind, json_node_get_object (root));
       ctl_table_print (&t, o->json);
       ctl_table_clear (&t);
     }
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return code;
 }
 
 static int
 show_config (const CtlOptions *o)
 {
-  CtlAnswer a = ctl_call (o, o->control, "GET", "/v1/config", NULL, NULL);
+  CtlResponse a = ctl_call (o, o->control, "GET", "/v1/config", NULL, NULL);
   int code = ctl_report (o, &a);
 
-  if (code == CTL_DONE && !o->json)
+  if (code == CTL_OK && !o->json)
     printf ("version %s\n", a.etag != NULL ? a.etag : "0");
-  if (code == CTL_DONE)
+  if (code == CTL_OK)
     printf ("%s\n", a.body);
-  ctl_answer_clear (&a);
+  ctl_response_clear (&a);
   return code;
 }
 
-/* show WHAT. */
+/* show config|owners|servers|slices|leases|members. */
 int
 ctl_show (const CtlOptions *o)
 {
-  const Shown *what = find_shown (o->words[0]);
+  const TableKind *kind = find_table_kind (o->args[0]);
 
   if (o->control == NULL)
     {
@@ -265,13 +267,13 @@
                        "CAPERCRANK_CONTROL) is required for this\n");
       return CTL_USAGE;
     }
-  if (g_str_equal (o->words[0], "config"))
+  if (g_str_equal (o->args[0], "config"))
     return show_config (o);
-  if (what != NULL)
-    return show_table (o, what);
+  if (kind != NULL)
+    return show_table (o, kind);
   fprintf (stderr,
-           "capercrankctl: there is no \"%s\" to show: config, owners, "
+           "capercrankctl: can't show \"%s\", only config, owners, "
            "servers, slices, leases or members\n",
-           o->words[0]);
+           o->args[0]);
   return CTL_USAGE;
 }
--- a/ctl_table.c
+++ b/ctl_table.c
@@ -1,11 +1,11 @@
-/* Tables of strings, for people or for scripts. */
+/* Tables of strings, printed with aligned columns or as JSON. */
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "ctl.h"
 
-/* Makes T an empty table with COLUMNS, which must last. */
+/* Makes T an empty table.  COLUMNS ends with NULL and must outlive T. */
 void
 ctl_table_init (CtlTable *t, const char *const *columns)
 {
@@ -28,7 +28,7 @@
   g_ptr_array_add (t->rows, row);
 }
 
-/* Frees what T holds. */
+/* Frees the rows of T. */
 void
 ctl_table_clear (CtlTable *t)
 {
@@ -62,14 +62,14 @@
 }
 
 static int
-width_of (const CtlTable *t, guint column)
+column_width (const CtlTable *t, guint column)
 {
-  glong most = g_utf8_strlen (t->columns[column], -1);
+  glong width = g_utf8_strlen (t->columns[column], -1);
 
   for (guint r = 0; r < t->rows->len; r++)
-    most =
-        MAX (most, g_utf8_strlen (((char **) t->rows->pdata[r])[column], -1));
-  return (int) most;
+    width =
+        MAX (width, g_utf8_strlen (((char **) t->rows->pdata[r])[column], -1));
+  return (int) width;
 }
 
 static void
@@ -77,9 +77,9 @@
 {
   for (guint i = 0; cells[i] != NULL; i++)
     {
-      int missing = widths[i] - (int) g_utf8_strlen (cells[i], -1);
+      int padding = widths[i] - (int) g_utf8_strlen (cells[i], -1);
 
-      printf ("%s%*s", cells[i], cells[i + 1] != NULL ? missing + 2 : 0, "");
+      printf ("%s%*s", cells[i], cells[i + 1] != NULL ? padding + 2 : 0, "");
     }
   printf ("\n");
 }
@@ -97,7 +97,7 @@
       return;
     }
   for (guint i = 0; i < n; i++)
-    widths[i] = width_of (t, i);
+    widths[i] = column_width (t, i);
   print_row (t->columns, widths);
   for (guint r = 0; r < t->rows->len; r++)
     print_row ((const char *const *) t->rows->pdata[r], widths);
