--- a/admin.c
+++ b/admin.c
@@ -1,5 +1,6 @@
-/* /metrics, /livez (the main loop turns) and /readyz (work may be sent here),
- * and what programs share in opening and closing. */
+/* Admin port: /metrics, /livez (200 while the main loop runs) and /readyz (200
+ * while requests may be sent to this process).  Also the HTTP listeners, the
+ * HTTP client and the signal handling that the programs share. */
 #include "admin.h"
 
 #include <glib-unix.h>
@@ -8,9 +9,9 @@
 #include "metrics.h"
 #include "settings.h"
 
-/* Connections that may wait to be accepted.  GLib's 10 overflow when callers
- * connect together; the kernel then drops their SYN, and the caller's next one
- * comes after a whole second. */
+/* Connections that may wait to be accepted.  GLib's default of 10 overflows
+ * when many callers connect at once; the kernel then drops their SYN, which a
+ * caller retransmits only after one second. */
 #define LISTEN_BACKLOG 1024
 
 typedef struct
@@ -19,7 +20,7 @@
   gpointer data;
 } Admin;
 
-/* Answers M with STATUS and a copy of BODY. */
+/* Sets the response of M to STATUS and a copy of BODY, of content type TYPE. */
 void
 cc_http_answer (SoupServerMessage *m, guint status, const char *type,
                 const char *body)
@@ -29,11 +30,12 @@
                                     strlen (body));
 }
 
-/* Set on servers for callers. */
+/* Object data set on servers that accept requests of callers. */
 #define FOR_CALLERS_KEY "capercrank-for-callers"
 
-/* A server for callers; it listens nowhere yet.  The library would decode
- * paths, and refuse those in which that makes a segment "..". */
+/* Returns a new server for callers, which does not listen yet.  It uses raw
+ * paths: libsoup would otherwise decode them and refuse a path in which
+ * decoding produces a ".." segment. */
 SoupServer *
 cc_http_server_new (void)
 {
@@ -43,8 +45,8 @@
   return server;
 }
 
-/* The path of M's request with its query, as the caller sent it.  The caller
- * frees it. */
+/* Returns the request target of M, path and query, as the client sent it.  Free
+ * it with g_free. */
 char *
 cc_http_target (SoupServerMessage *m)
 {
@@ -82,12 +84,12 @@
           GHashTable *query, gpointer data)
 {
   Admin *a = data;
-  const char *why_not = a->ready (a->data);
+  const char *not_ready = a->ready (a->data);
 
   (void) server, (void) path, (void) query;
   cc_http_answer (
-      m, why_not == NULL ? SOUP_STATUS_OK : SOUP_STATUS_SERVICE_UNAVAILABLE,
-      "text/plain", why_not == NULL ? "ready\n" : why_not);
+      m, not_ready == NULL ? SOUP_STATUS_OK : SOUP_STATUS_SERVICE_UNAVAILABLE,
+      "text/plain", not_ready == NULL ? "ready\n" : not_ready);
 }
 
 static GSocket *
@@ -106,8 +108,8 @@
   return g_steal_pointer (&s);
 }
 
-/* Makes SERVER listen at ADDRESS (IP:PORT).  Returns FALSE with *MESSAGE set,
- * to be freed, if it can't. */
+/* Makes SERVER listen at ADDRESS (IP:PORT).  On failure returns FALSE and sets
+ * *MESSAGE, to be freed with g_free. */
 gboolean
 cc_http_listen (SoupServer *server, const char *address, char **message)
 {
@@ -125,12 +127,13 @@
   if (s != NULL && soup_server_listen_socket (server, s, 0, &error))
     return TRUE;
   *message =
-      g_strdup_printf ("can't listen at %s: %s", address, error->message);
+      g_strdup_printf ("can't listen on %s: %s", address, error->message);
   return FALSE;
 }
 
-/* Opens the port at ADDRESS.  Returns NULL with *MESSAGE set if it can't.
- * Handlers for operators may be added to the result. */
+/* Opens the admin port at ADDRESS (IP:PORT).  READY is called with DATA for
+ * each request for /readyz.  The caller may add handlers to the result.  On
+ * failure returns NULL and sets *MESSAGE, to be freed with g_free. */
 SoupServer *
 cc_admin_listen (const char *address, CcAdminReady ready, gpointer data,
                  char **message)
@@ -149,8 +152,8 @@
   return NULL;
 }
 
-/* An HTTP client whose connections come from the IP of SOURCE (IP:PORT), with
- * at most PER_HOST to one server, and that passes bodies on as they are. */
+/* Returns an HTTP client that connects from the IP of SOURCE (IP:PORT), keeps
+ * at most PER_HOST connections to one server, and does not decode bodies. */
 SoupSession *
 cc_http_client (const char *source, guint per_host)
 {
@@ -167,9 +170,9 @@
   return s;
 }
 
-/* M gets a connection of its own, closed after its answer.  libsoup would keep
- * it, and looks at every kept connection for every new one: at 500 new ones a
- * second that took a whole core. */
+/* Sends M on a new connection that is closed after the response.  libsoup would
+ * keep the connection, and scans all kept connections for each new one: at 500
+ * new ones per second that takes a whole core. */
 void
 cc_http_use_new_connection (SoupMessage *m)
 {
@@ -179,8 +182,8 @@
                                 "Connection", "close");
 }
 
-/* Runs the main loop.  STOP is called at SIGTERM or SIGINT; it ends the
- * process when it is done. */
+/* Runs the main loop.  STOP is called with DATA on SIGTERM or SIGINT, and exits
+ * the process when it has finished. */
 void
 cc_run_until_signal (GSourceFunc stop, gpointer data)
 {
--- a/admin.h
+++ b/admin.h
@@ -1,4 +1,5 @@
-/* The HTTP port of a process for monitoring and operators. */
+/* The admin port of a process (metrics, health, operators), and the HTTP
+ * server and client that the programs share. */
 #ifndef CC_ADMIN_H
 #define CC_ADMIN_H
 
--- a/operator_http.c
+++ b/operator_http.c
@@ -1,9 +1,11 @@
-/* What the operators' handlers share: answers, and who may give orders.
+/* Shared by the handlers for operators: JSON responses, and the check of the
+ * bearer token.
  *
- * With a token set (CAPERCRANK_OPERATOR_TOKEN) an order must carry it; reading
- * needs none.  It keeps a stray script, or a process that can reach the admin
- * port, from changing the configuration.  It goes over plain HTTP: whoever can
- * read the network's traffic can read it. */
+ * If a token is set (CAPERCRANK_OPERATOR_TOKEN), requests that change something
+ * must carry it; reads need none.  It keeps a misdirected script, or any
+ * process that can reach the admin port, from changing the configuration.  It
+ * is sent over plain HTTP, so anyone who can read the network's traffic can
+ * read it. */
 #include "operator_http.h"
 
 #include <string.h>
@@ -14,7 +16,7 @@
 
 #define SCHEME "Bearer "
 
-/* Answers M with STATUS and what B built. */
+/* Sets the response of M to STATUS and the JSON document built by B. */
 void
 cc_operator_answer_json (SoupServerMessage *m, guint status, JsonBuilder *b)
 {
@@ -24,7 +26,8 @@
   cc_http_answer (m, status, "application/json", text);
 }
 
-/* Answers M with STATUS, a sentence and the VERSION in force (0: none). */
+/* Sets the response of M to STATUS and a JSON object with the error message
+ * TEXT and the document VERSION in force (0: none). */
 void
 cc_operator_answer_error (SoupServerMessage *m, guint status, const char *text,
                           guint64 version)
@@ -40,7 +43,7 @@
   cc_operator_answer_json (m, status, b);
 }
 
-/* Answers M with 422 and all findings of F. */
+/* Sets the response of M to status 422 and all findings of F. */
 void
 cc_operator_answer_findings (SoupServerMessage *m, const CcFindings *f)
 {
@@ -53,13 +56,13 @@
   json_builder_begin_array (b);
   for (guint i = 0; i < f->list->len; i++)
     {
-      const CcFinding *one = f->list->pdata[i];
+      const CcFinding *finding = f->list->pdata[i];
 
       json_builder_begin_object (b);
       json_builder_set_member_name (b, "place");
-      json_builder_add_string_value (b, one->place);
+      json_builder_add_string_value (b, finding->place);
       json_builder_set_member_name (b, "text");
-      json_builder_add_string_value (b, one->text);
+      json_builder_add_string_value (b, finding->text);
       json_builder_end_object (b);
     }
   json_builder_end_array (b);
@@ -67,22 +70,23 @@
   cc_operator_answer_json (m, SOUP_STATUS_UNPROCESSABLE_ENTITY, b);
 }
 
-/* Whether M carries TOKEN, or TOKEN is empty.  If not, M is answered. */
+/* Returns TRUE if M carries TOKEN or TOKEN is empty.  Otherwise sets the
+ * response of M to 401 and returns FALSE. */
 gboolean
 cc_operator_authorize (SoupServerMessage *m, const char *token)
 {
-  const char *given = soup_message_headers_get_one (
+  const char *header = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), "Authorization");
 
   if (token[0] == '\0')
     return TRUE;
-  if (given != NULL && g_str_has_prefix (given, SCHEME) &&
-      cc_secret_equal (given + strlen (SCHEME), token))
+  if (header != NULL && g_str_has_prefix (header, SCHEME) &&
+      cc_secret_equal (header + strlen (SCHEME), token))
     return TRUE;
   soup_message_headers_replace (soup_server_message_get_response_headers (m),
                                 "WWW-Authenticate", "Bearer");
   cc_operator_answer_error (m, SOUP_STATUS_UNAUTHORIZED,
-                            "orders need the operators' token", 0);
+                            "changes require the operators' token", 0);
   return FALSE;
 }
 
@@ -94,9 +98,9 @@
   cc_body_limit (m, CC_DOCUMENT_MAX);
 }
 
-/* Bounds the bodies of requests to PATH of ADMIN.  libsoup asks the early
- * handler of the very path that a request's handler was added for, so each of
- * them needs its own. */
+/* Limits the bodies of requests to PATH of ADMIN to CC_DOCUMENT_MAX bytes.
+ * libsoup calls only the early handler of the path under which a request's
+ * handler was added, so each of these paths needs a call of its own. */
 void
 cc_operator_limit_body (SoupServer *admin, const char *path)
 {
--- a/operator_http.h
+++ b/operator_http.h
@@ -1,4 +1,4 @@
-/* Answers to operators, and who may give orders. */
+/* HTTP responses to operators, and the authorization of their requests. */
 #ifndef CC_OPERATOR_HTTP_H
 #define CC_OPERATOR_HTTP_H
 
@@ -7,8 +7,8 @@
 
 #include "findings.h"
 
-/* Bytes of a document: 256 classes are 27 kB (make capacity), the rest is
- * for descriptions. */
+/* Maximum size of a document, bytes.  256 classes take 27 kB (make capacity);
+ * the rest is for descriptions. */
 #define CC_DOCUMENT_MAX (256 * 1024)
 
 void cc_operator_answer_json (SoupServerMessage *m, guint status,
