--- a/config_api.c
+++ b/config_api.c
@@ -1,11 +1,12 @@
 /* PUT /v1/config   submit a document; If-Match names the version it replaces
- * PUT /v1/config?check=1   check it and change nothing
- * GET /v1/config   the document in force and its version
- * GET /v1/view     all rows known here, for capercrankctl's tables
+ * PUT /v1/config?check=1   validate a document, change nothing
+ * GET /v1/config   the document in force; its version is in ETag
+ * GET /v1/view     all rows of the local view, for capercrankctl's tables
  *
- * Two operators who submit at once both name the version they read; the
- * platform's compare-and-set accepts one, the other is told the new version.
- * An accepted document is a row of the table, so it survives all of us. */
+ * Two operators who submit at the same time both name the version they have
+ * read; the platform's compare-and-set accepts one, and the other receives 409
+ * with the new version.  An accepted document is a row of the table, so it
+ * survives the loss of every process. */
 #include "config_api.h"
 
 #include <stdlib.h>
@@ -18,26 +19,26 @@
 #include "log.h"
 #include "operator_http.h"
 
-#define HEAD "config/head"
-#define CHECK "check" /* "check=1" in the query: change nothing */
+#define HEAD_KEY "config/head"
+#define CHECK_PARAMETER "check" /* query parameter: validate only */
 #define SUPERSEDED                                                             \
-  "another document was accepted meanwhile; read it, then submit against its " \
-  "version"
+  "another document has been accepted since that version; read it, then "      \
+  "submit against its version"
 #define STATUS_PRECONDITION_REQUIRED 428 /* RFC 6585; libsoup has no name */
 
 typedef struct
 {
   CcFollower *follower;
   CcPlatform *platform;
-  char *token; /* orders must carry it; "": none is asked for */
-} Api;
+  char *token; /* required for changes; "": none is required */
+} ConfigApi;
 
 typedef struct
 {
-  Api *api;
+  ConfigApi *api;
   SoupServerMessage *message;
   char *document;
-  guint64 base; /* version it replaces */
+  guint64 base; /* version that it replaces */
 } Submit;
 
 static void
@@ -50,12 +51,12 @@
 }
 
 static void
-answer_accepted (Submit *s, guint64 version)
+respond_accepted (Submit *s, guint64 version)
 {
   g_autoptr (JsonBuilder) b = json_builder_new ();
 
   cc_log (CC_LOG_INFO, "configuration",
-          "version %" G_GUINT64_FORMAT " was accepted", version);
+          "version %" G_GUINT64_FORMAT " accepted", version);
   json_builder_begin_object (b);
   json_builder_set_member_name (b, "version");
   json_builder_add_int_value (b, (gint64) version);
@@ -64,23 +65,24 @@
   cc_follower_poll (s->api->follower);
 }
 
-/* After a lost answer the row tells.  It holds the document: accepted.  It
- * holds another one, newer than the version to be replaced: ours is not in
- * force, and can't come into force any more, since its check fails from now on.
- * It is unchanged: the write may still be on its way, nobody knows. */
+/* Responds by the row's contents if the response to the write was lost.  If the
+ * row holds the document, it was accepted.  If it holds another one, newer than
+ * the version to be replaced, the document is not in force and can't become so,
+ * since its version check fails from now on.  If the row is unchanged, the
+ * write may still be in flight, and the result is unknown. */
 static void
-answer_by_row (Submit *s, guint64 version, const char *value)
+respond_by_row (Submit *s, guint64 version, const char *value)
 {
   if (version > s->base && g_str_equal (value, s->document))
-    answer_accepted (s, version);
+    respond_accepted (s, version);
   else if (version > s->base)
     cc_operator_answer_error (s->message, SOUP_STATUS_CONFLICT, SUPERSEDED,
                               version);
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_GATEWAY_TIMEOUT,
-        "the platform's answer was lost; it is not known whether the "
-        "document will be accepted, ask again",
+        "the platform's response was lost; the document may or may not be "
+        "accepted later, read the document in force before a retry",
         version);
 }
 
@@ -99,7 +101,7 @@
       g_variant_iter_init (&iter, rows);
       g_variant_iter_next (&iter, "(&st&s)", &key, &version, &value);
     }
-  answer_by_row (s, version, value);
+  respond_by_row (s, version, value);
   submit_free (s);
 }
 
@@ -110,23 +112,24 @@
 
   if (status == CC_UNKNOWN)
     {
-      cc_platform_rows (s->api->platform, HEAD, on_read_back, s);
+      cc_platform_rows (s->api->platform, HEAD_KEY, on_read_back, s);
       return;
     }
   if (status == CC_OK)
-    answer_accepted (s, version);
+    respond_accepted (s, version);
   else if (status == CC_CONFLICT)
     cc_operator_answer_error (s->message, SOUP_STATUS_CONFLICT, SUPERSEDED,
                               s->api->follower->document_version);
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-        "the platform can't be reached; nothing was changed", 0);
+        "the platform is unreachable; nothing was changed", 0);
   submit_free (s);
 }
 
 static void
-commit (Api *api, SoupServerMessage *m, const char *document, guint64 base)
+commit (ConfigApi *api, SoupServerMessage *m, const char *document,
+        guint64 base)
 {
   Submit *s = g_new0 (Submit, 1);
   CcTransaction *x = cc_transaction_new ();
@@ -135,18 +138,19 @@
   s->message = g_object_ref (m);
   s->document = g_strdup (document);
   s->base = base;
-  cc_transaction_check (x, HEAD, base);
-  cc_transaction_put (x, HEAD, document);
+  cc_transaction_check (x, HEAD_KEY, base);
+  cc_transaction_put (x, HEAD_KEY, document);
   soup_server_message_pause (m);
   cc_platform_commit (api->platform, x, on_committed, s);
 }
 
 static gboolean
-check_document (Api *api, SoupServerMessage *m, const char *text, gsize size)
+check_document (ConfigApi *api, SoupServerMessage *m, const char *text,
+                gsize size)
 {
   CcFindings f;
   CcDocument *d;
-  gboolean good;
+  gboolean valid;
 
   cc_findings_init (&f);
   if (size > CC_DOCUMENT_MAX || !g_utf8_validate (text, (gssize) size, NULL))
@@ -159,18 +163,20 @@
         cc_document_check_update (api->follower->document, d, &f);
       cc_document_free (d);
     }
-  good = cc_findings_count (&f) == 0;
-  if (!good)
+  valid = cc_findings_count (&f) == 0;
+  if (!valid)
     cc_operator_answer_findings (m, &f);
   cc_findings_clear (&f);
-  return good;
+  return valid;
 }
 
-/* The document is compared with the one this process knows, so that must be
- * the one it replaces.  A process behind the table would otherwise let through
- * what must not change, the number of a pool's slices among it. */
+/* Returns TRUE if BASE is the version that this process holds; otherwise
+ * responds with an error.  A document is validated against the one held here,
+ * so that must be the one it replaces: a process that lags behind the table
+ * would otherwise accept a change to what is fixed, such as the number of a
+ * pool's slices. */
 static gboolean
-is_newest_here (Api *api, SoupServerMessage *m, guint64 base)
+check_base_version (ConfigApi *api, SoupServerMessage *m, guint64 base)
 {
   guint64 known = api->follower->document_version;
 
@@ -180,14 +186,14 @@
     cc_operator_answer_error (m, SOUP_STATUS_CONFLICT, SUPERSEDED, known);
   else
     cc_operator_answer_error (m, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "this instance does not hold that version yet; "
-                              "ask again, or ask another one",
+                              "this instance has not received that version "
+                              "yet; retry, or use another instance",
                               known);
   return FALSE;
 }
 
 static void
-submit (Api *api, SoupServerMessage *m, gboolean check_only)
+submit (ConfigApi *api, SoupServerMessage *m, gboolean check_only)
 {
   const char *match = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), "If-Match");
@@ -202,18 +208,18 @@
       !g_ascii_string_to_unsigned (match, 10, 0, G_MAXINT64, &base, NULL))
     {
       cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
-                                "If-Match must be a version", 0);
+                                "If-Match must be a version number", 0);
       return;
     }
   if (match == NULL && !check_only)
     {
       cc_operator_answer_error (
           m, STATUS_PRECONDITION_REQUIRED,
-          "If-Match must name the version to replace, 0 for none",
+          "If-Match must give the version to replace, 0 if there is none",
           api->follower->document_version);
       return;
     }
-  if (!check_only && !is_newest_here (api, m, base))
+  if (!check_only && !check_base_version (api, m, base))
     return;
   if (!check_document (api, m, text, size))
     return;
@@ -227,8 +233,8 @@
 on_config (SoupServer *server, SoupServerMessage *m, const char *path,
            GHashTable *query, gpointer data)
 {
-  Api *api = data;
-  const CcRow *head = cc_view_get (&api->follower->view, HEAD);
+  ConfigApi *api = data;
+  const CcRow *head = cc_view_get (&api->follower->view, HEAD_KEY);
   const char *method = soup_server_message_get_method (m);
   g_autofree char *version = NULL;
 
@@ -239,7 +245,8 @@
     {
       if (!cc_operator_authorize (m, api->token))
         return;
-      submit (api, m, query != NULL && g_hash_table_contains (query, CHECK));
+      submit (api, m,
+              query != NULL && g_hash_table_contains (query, CHECK_PARAMETER));
       return;
     }
   if (!g_str_equal (method, "GET"))
@@ -277,7 +284,7 @@
 on_view (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
 {
-  Api *api = data;
+  ConfigApi *api = data;
   g_autoptr (GPtrArray) rows = cc_view_list (&api->follower->view, "");
   g_autoptr (JsonBuilder) b = json_builder_new ();
 
@@ -292,19 +299,19 @@
 static void
 api_free (gpointer data)
 {
-  Api *api = data;
+  ConfigApi *api = data;
 
   g_free (api->token);
   g_free (api);
 }
 
-/* Adds the interface to ADMIN.  F and P must outlive it.  Orders must carry
- * TOKEN unless it is empty. */
+/* Adds the handlers to ADMIN.  F and P must outlive it.  PUT requires TOKEN
+ * unless TOKEN is empty. */
 void
 cc_config_api_add (SoupServer *admin, CcFollower *f, CcPlatform *p,
                    const char *token)
 {
-  Api *api = g_new0 (Api, 1);
+  ConfigApi *api = g_new0 (ConfigApi, 1);
 
   api->follower = f;
   api->platform = p;
--- a/config_api.h
+++ b/config_api.h
@@ -1,4 +1,5 @@
-/* The operators' HTTP interface: configuration and status. */
+/* HTTP interface for operators on the admin port: the document in force, its
+ * replacement, and the rows of the view. */
 #ifndef CC_CONFIG_API_H
 #define CC_CONFIG_API_H
 
--- a/drain_api.c
+++ b/drain_api.c
@@ -1,10 +1,10 @@
-/* PUT    /v1/drain/POOL/SERVER   the server's keys move away
- * DELETE /v1/drain/POOL/SERVER   it may own keys again
+/* PUT    /v1/drain/POOL/SERVER   moves the server's keys away
+ * DELETE /v1/drain/POOL/SERVER   lets the server own keys again
  *
- * An order is a row drain/POOL/SERVER of the table, so it outlives whoever
- * took it; the assigner treats the server as if the platform listed it as
- * leaving.  Both orders say what is to be, not what is to change: given twice
- * they do no harm, so a lost answer is met by giving the order again. */
+ * A drain request is stored as the row drain/POOL/SERVER of the table, so it
+ * outlives the process that accepted it; while it is there, the assigner treats
+ * the server as if the platform listed it as leaving.  Both requests are
+ * idempotent: after a lost response the operator sends the request again. */
 #include "drain_api.h"
 
 #include <string.h>
@@ -17,34 +17,34 @@
 #include "log.h"
 #include "operator_http.h"
 
-#define PATH "/v1/drain"
+#define DRAIN_PATH "/v1/drain"
 
 typedef struct
 {
   CcFollower *follower;
   CcPlatform *platform;
-  char *token; /* orders must carry it; "": none is asked for */
-} Api;
+  char *token; /* required for changes; "": none is required */
+} DrainApi;
 
 typedef struct
 {
-  Api *api;
+  DrainApi *api;
   SoupServerMessage *message;
   char *key; /* of the row */
   gboolean drain;
-} Order;
+} DrainRequest;
 
 static char *
-key_of (const char *pool, const char *server)
+row_key (const char *pool, const char *server)
 {
   return g_strconcat ("drain/", pool, "/", server, NULL);
 }
 
-/* Whether an operator wants SERVER of POOL drained, as far as V knows. */
+/* Returns TRUE if the view V holds a drain request for SERVER of POOL. */
 gboolean
 cc_drain_is_requested (const CcView *v, const char *pool, const char *server)
 {
-  g_autofree char *key = key_of (pool, server);
+  g_autofree char *key = row_key (pool, server);
 
   return cc_view_get (v, key) != NULL;
 }
@@ -52,7 +52,7 @@
 static void
 on_committed (CcStatus status, guint64 version, gpointer data)
 {
-  Order *o = data;
+  DrainRequest *o = data;
 
   if (status == CC_OK)
     {
@@ -63,13 +63,13 @@
     }
   else if (status == CC_UNKNOWN)
     cc_operator_answer_error (o->message, SOUP_STATUS_GATEWAY_TIMEOUT,
-                              "the platform's answer was lost; give the order "
-                              "again, twice does no harm",
+                              "the platform's response was lost; repeat the "
+                              "request, it is idempotent",
                               version);
   else
     cc_operator_answer_error (o->message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "the platform can't be reached; nothing was "
-                              "changed, ask again",
+                              "the platform is unreachable; nothing was "
+                              "changed, retry",
                               version);
   soup_server_message_unpause (o->message);
   g_object_unref (o->message);
@@ -78,18 +78,18 @@
 }
 
 static char *
-order_value (void)
+request_value (void)
 {
   return g_strdup_printf ("{\"since_ms\":%" G_GINT64_FORMAT "}",
                           cc_clock_wall () / CC_MS);
 }
 
 static void
-write_order (Api *api, SoupServerMessage *m, char *key, gboolean drain)
+write_request (DrainApi *api, SoupServerMessage *m, char *key, gboolean drain)
 {
-  Order *o = g_new0 (Order, 1);
+  DrainRequest *o = g_new0 (DrainRequest, 1);
   CcTransaction *x = cc_transaction_new ();
-  g_autofree char *value = drain ? order_value () : NULL;
+  g_autofree char *value = drain ? request_value () : NULL;
 
   o->api = api;
   o->message = g_object_ref (m);
@@ -100,10 +100,10 @@
   cc_platform_commit (api->platform, x, on_committed, o);
 }
 
-/* Only a server that stands in the pool's map can be drained: the rows are
- * thereby as few as the servers, whoever sends what. */
+/* Only a server of the pool's map can be drained, so that requests can't create
+ * more rows than there are servers. */
 static gboolean
-is_known (const Api *api, const char *pool, const char *server)
+is_known (const DrainApi *api, const char *pool, const char *server)
 {
   const CcSliceMap *m = cc_follower_map (api->follower, pool);
 
@@ -114,7 +114,7 @@
 on_drain (SoupServer *server, SoupServerMessage *m, const char *path,
           GHashTable *query, gpointer data)
 {
-  Api *api = data;
+  DrainApi *api = data;
   const char *method = soup_server_message_get_method (m);
   gboolean drain = g_str_equal (method, "PUT");
   g_auto (GStrv) parts = g_strsplit (path, "/", -1);
@@ -129,34 +129,34 @@
     return;
   else if (g_strv_length (parts) != 5)
     cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
-                              "the path is " PATH "/POOL/SERVER", 0);
+                              "the path must be " DRAIN_PATH "/POOL/SERVER", 0);
   else if (drain && !is_known (api, parts[3], parts[4]))
     cc_operator_answer_error (m, SOUP_STATUS_NOT_FOUND,
-                              "there is no such server in the pool's map", 0);
+                              "no such server in the pool's map", 0);
   else
-    write_order (api, m, key_of (parts[3], parts[4]), drain);
+    write_request (api, m, row_key (parts[3], parts[4]), drain);
 }
 
 static void
 api_free (gpointer data)
 {
-  Api *api = data;
+  DrainApi *api = data;
 
   g_free (api->token);
   g_free (api);
 }
 
-/* Adds the orders to ADMIN.  F and P must outlive it.  Orders must carry TOKEN
- * unless it is empty. */
+/* Adds the handlers to ADMIN.  F and P must outlive it.  Requests require TOKEN
+ * unless TOKEN is empty. */
 void
 cc_drain_api_add (SoupServer *admin, CcFollower *f, CcPlatform *p,
                   const char *token)
 {
-  Api *api = g_new0 (Api, 1);
+  DrainApi *api = g_new0 (DrainApi, 1);
 
   api->follower = f;
   api->platform = p;
   api->token = g_strdup (token);
-  cc_operator_limit_body (admin, PATH);
-  soup_server_add_handler (admin, PATH, on_drain, api, api_free);
+  cc_operator_limit_body (admin, DRAIN_PATH);
+  soup_server_add_handler (admin, DRAIN_PATH, on_drain, api, api_free);
 }
--- a/drain_api.h
+++ b/drain_api.h
@@ -1,4 +1,4 @@
-/* The operators' orders to drain a server and to use it again. */
+/* HTTP interface by which operators drain a server and undo it. */
 #ifndef CC_DRAIN_API_H
 #define CC_DRAIN_API_H
 
