--- a/document.c
+++ b/document.c
@@ -1,7 +1,7 @@
-/* Parsing and checking of the operators' document.  Every fault is a finding
- * with its place, and a document with findings is refused whole.  Unknown
- * members are faults too: a mistyped "tiemout_ms" must not become a default.
- */
+/* Parser and validator of the operators' document.  Each error is a finding
+ * with its place, and a document with findings is rejected as a whole.  Unknown
+ * members are errors too: otherwise a mistyped "tiemout_ms" would silently
+ * leave the default in force. */
 #include "document.h"
 
 #include <string.h>
@@ -28,7 +28,7 @@
 }
 
 static JsonNode *
-member (const Reader *r, const char *name, GType type, gboolean required)
+get_member (const Reader *r, const char *name, GType type, gboolean required)
 {
   JsonNode *node = json_object_get_member (r->object, name);
   g_autofree char *place = place_of (r, name);
@@ -44,7 +44,7 @@
        (type == G_TYPE_DOUBLE &&
         json_node_get_value_type (node) == G_TYPE_INT64)))
     return node;
-  cc_findings_add (r->f, place, "has the wrong type, a %s is wanted",
+  cc_findings_add (r->f, place, "has the wrong type, expected: %s",
                    type == G_TYPE_STRING    ? "string"
                    : type == G_TYPE_BOOLEAN ? "true or false"
                                             : "number");
@@ -54,14 +54,14 @@
 static char *
 read_name (const Reader *r, const char *name)
 {
-  JsonNode *node = member (r, name, G_TYPE_STRING, TRUE);
+  JsonNode *node = get_member (r, name, G_TYPE_STRING, TRUE);
   const char *s = node != NULL ? json_node_get_string (node) : "";
   g_autofree char *place = place_of (r, name);
 
   if (node != NULL && (s[0] == '\0' || strlen (s) > CC_NAME_MAX))
     cc_findings_add (r->f, place, "must have 1 to %d bytes", CC_NAME_MAX);
   if (strpbrk (s, "/\"\\\n\r") != NULL)
-    cc_findings_add (r->f, place, "must not hold / \" \\ or a line break");
+    cc_findings_add (r->f, place, "must not contain / \" \\ or a line break");
   return g_strdup (s);
 }
 
@@ -69,45 +69,46 @@
 read_flag (const Reader *r, const char *name, gboolean required,
            gboolean fallback)
 {
-  JsonNode *node = member (r, name, G_TYPE_BOOLEAN, required);
+  JsonNode *node = get_member (r, name, G_TYPE_BOOLEAN, required);
 
   return node != NULL ? json_node_get_boolean (node) : fallback;
 }
 
 static double
 read_number (const Reader *r, const char *name, gboolean required,
-             double fallback, double least, double most)
+             double fallback, double min, double max)
 {
-  JsonNode *node = member (r, name, G_TYPE_DOUBLE, required);
+  JsonNode *node = get_member (r, name, G_TYPE_DOUBLE, required);
   g_autofree char *place = place_of (r, name);
   double n;
 
   if (node == NULL)
     return fallback;
   n = json_node_get_double (node);
-  if (n >= least && n <= most)
+  if (n >= min && n <= max)
     return n;
-  cc_findings_add (r->f, place, "is %g, must be from %g to %g", n, least, most);
+  cc_findings_add (r->f, place, "is %g, must be from %g to %g", n, min, max);
   return fallback;
 }
 
 static guint
-read_choice (const Reader *r, const char *name, const char *const *words)
+read_choice (const Reader *r, const char *name, const char *const *choices)
 {
-  JsonNode *node = member (r, name, G_TYPE_STRING, FALSE);
+  JsonNode *node = get_member (r, name, G_TYPE_STRING, FALSE);
   g_autofree char *place = place_of (r, name);
 
   if (node == NULL)
     return 0;
-  for (guint i = 0; words[i] != NULL; i++)
-    if (g_str_equal (json_node_get_string (node), words[i]))
+  for (guint i = 0; choices[i] != NULL; i++)
+    if (g_str_equal (json_node_get_string (node), choices[i]))
       return i;
-  cc_findings_add (r->f, place, "must be \"%s\" or \"%s\"", words[0], words[1]);
+  cc_findings_add (r->f, place, "must be \"%s\" or \"%s\"", choices[0],
+                   choices[1]);
   return 0;
 }
 
 static void
-refuse_others (const Reader *r, const char *const *known)
+reject_unknown_members (const Reader *r, const char *const *known)
 {
   GList *names = json_object_get_members (r->object);
 
@@ -149,7 +150,7 @@
   static const char *const cut_off[] = { "release", "keep", NULL };
   CcPool *p = g_new0 (CcPool, 1);
 
-  refuse_others (r, known);
+  reject_unknown_members (r, known);
   p->name = read_name (r, "name");
   p->prefer = (CcPreference) read_choice (r, "prefer", prefer);
   p->cut_off = (CcCutOff) read_choice (r, "cut_off", cut_off);
@@ -157,7 +158,7 @@
   p->slices =
       (guint) read_number (r, "slices", FALSE, SLICES_DEFAULT, 1, SLICES_MAX);
   if (cc_document_pool (d, p->name) != NULL)
-    cc_findings_add (r->f, r->place, "pool \"%s\" stands twice", p->name);
+    cc_findings_add (r->f, r->place, "duplicate pool \"%s\"", p->name);
   g_ptr_array_add (d->pools, p);
 }
 
@@ -176,7 +177,7 @@
       return;
     }
   inner.object = json_node_get_object (node);
-  refuse_others (&inner, known);
+  reject_unknown_members (&inner, known);
   c->within = (gint64) (read_number (&inner, "within_ms", TRUE, 1, 1,
                                      CC_TIMEOUT_MAX_MS) *
                         CC_MS);
@@ -192,7 +193,7 @@
   CcClass *c = g_new0 (CcClass, 1);
   g_autofree char *place = place_of (r, "pool");
 
-  refuse_others (r, known);
+  reject_unknown_members (r, known);
   c->name = read_name (r, "name");
   c->pool = read_name (r, "pool");
   c->once_only = read_flag (r, "once_only", TRUE, TRUE);
@@ -204,16 +205,16 @@
     cc_findings_add (r->f, r->place,
                      "timeout_ms is shorter than target.within_ms");
   if (c->pool[0] != '\0' && cc_document_pool (d, c->pool) == NULL)
-    cc_findings_add (r->f, place, "there is no pool \"%s\"", c->pool);
+    cc_findings_add (r->f, place, "no such pool: \"%s\"", c->pool);
   if (cc_document_class (d, c->name) != NULL)
-    cc_findings_add (r->f, r->place, "class \"%s\" stands twice", c->name);
+    cc_findings_add (r->f, r->place, "duplicate class \"%s\"", c->name);
   g_ptr_array_add (d->classes, c);
 }
 
 typedef void (*ReadItem) (const Reader *r, CcDocument *d);
 
 static void
-read_list (const Reader *r, const char *name, guint most, ReadItem item,
+read_list (const Reader *r, const char *name, guint max, ReadItem item,
            CcDocument *d)
 {
   JsonNode *node = json_object_get_member (r->object, name);
@@ -225,26 +226,26 @@
       return;
     }
   list = json_node_get_array (node);
-  if (json_array_get_length (list) == 0 || json_array_get_length (list) > most)
-    cc_findings_add (r->f, name, "must hold 1 to %u items", most);
-  for (guint i = 0; i < MIN (json_array_get_length (list), most); i++)
+  if (json_array_get_length (list) == 0 || json_array_get_length (list) > max)
+    cc_findings_add (r->f, name, "must have 1 to %u items", max);
+  for (guint i = 0; i < MIN (json_array_get_length (list), max); i++)
     {
-      JsonNode *one = json_array_get_element (list, i);
+      JsonNode *element = json_array_get_element (list, i);
       g_autofree char *place = g_strdup_printf ("%s[%u]", name, i);
       Reader inner = { NULL, place, r->f };
 
-      if (!JSON_NODE_HOLDS_OBJECT (one))
+      if (!JSON_NODE_HOLDS_OBJECT (element))
         {
           cc_findings_add (r->f, place, "must be an object");
           continue;
         }
-      inner.object = json_node_get_object (one);
+      inner.object = json_node_get_object (element);
       item (&inner, d);
     }
 }
 
-/* Reads a document of LENGTH bytes (-1: up to NUL).  Adds every fault to F and
- * returns NULL if there was any. */
+/* Parses a document of LENGTH bytes (-1: up to NUL).  Adds every error to F and
+ * returns NULL if there is any.  Free the result with cc_document_free. */
 CcDocument *
 cc_document_parse (const char *json, gssize length, CcFindings *f)
 {
@@ -272,7 +273,7 @@
   d->pools = g_ptr_array_new_with_free_func (pool_free);
   d->classes = g_ptr_array_new_with_free_func (class_free);
   r.object = json_node_get_object (root);
-  refuse_others (&r, known);
+  reject_unknown_members (&r, known);
   read_list (&r, "pools", POOLS_MAX, read_pool, d);
   read_list (&r, "classes", CLASSES_MAX, read_class, d);
   if (cc_findings_count (f) == before)
@@ -281,8 +282,9 @@
   return NULL;
 }
 
-/* Adds to F what must not change between two documents: the number of a pool's
- * slices, since every key's slice depends on it. */
+/* Adds a finding to F for each change from BEFORE to AFTER that is not allowed:
+ * of the number of a pool's slices, since every key's slice depends on it, and
+ * of "cut_off" from "keep" to "release". */
 void
 cc_document_check_update (const CcDocument *before, const CcDocument *after,
                           CcFindings *f)
@@ -294,17 +296,20 @@
       g_autofree char *place = g_strdup_printf ("pools[%u].slices", i);
 
       if (old != NULL && old->slices != p->slices)
-        cc_findings_add (f, place, "is %u for the life of the pool, not %u",
+        cc_findings_add (f, place,
+                         "must stay %u for the life of the pool, is %u",
                          old->slices, p->slices);
-      /* A zone that is cut off goes by the old document: it would serve on
-       * while its servers are taken over. */
+      /* A zone that is cut off still uses the old document: it would
+       * continue to serve while its servers are taken over. */
       if (old != NULL && old->cut_off == CC_CUT_OFF_KEEP &&
           p->cut_off == CC_CUT_OFF_RELEASE)
-        cc_findings_add (f, p->name, "keeps \"cut_off\": \"keep\" for life");
+        cc_findings_add (
+            f, p->name,
+            "can't change \"cut_off\" from \"keep\" to \"release\"");
     }
 }
 
-/* Frees D; NULL is fine. */
+/* Frees D, which may be NULL. */
 void
 cc_document_free (CcDocument *d)
 {
@@ -315,7 +320,7 @@
   g_free (d);
 }
 
-/* The pool NAME, or NULL. */
+/* Returns the pool NAME, or NULL if there is none. */
 const CcPool *
 cc_document_pool (const CcDocument *d, const char *name)
 {
@@ -329,7 +334,7 @@
   return NULL;
 }
 
-/* The class NAME, or NULL. */
+/* Returns the class NAME, or NULL if there is none. */
 const CcClass *
 cc_document_class (const CcDocument *d, const char *name)
 {
@@ -343,7 +348,8 @@
   return NULL;
 }
 
-/* The longest timeout of POOL's classes, us: no attempt outlives it. */
+/* Returns the longest timeout of the classes of POOL, us, which bounds the time
+ * that an attempt can take; 0 if the pool has no class. */
 gint64
 cc_document_longest_timeout (const CcDocument *d, const char *pool)
 {
--- a/document.h
+++ b/document.h
@@ -1,4 +1,5 @@
-/* The operators' document: pools of servers, classes of work, targets. */
+/* The operators' configuration document: pools of servers, classes of requests
+ * and their targets. */
 #ifndef CC_DOCUMENT_H
 #define CC_DOCUMENT_H
 
@@ -7,15 +8,16 @@
 
 typedef enum
 {
-  CC_PREFER_AVAILABILITY, /* move keys early: unavailable time weighs most */
-  CC_PREFER_STABILITY     /* move keys rarely: churn weighs most */
+  CC_PREFER_AVAILABILITY, /* move keys early: availability outweighs churn */
+  CC_PREFER_STABILITY     /* move keys rarely: churn outweighs availability */
 } CcPreference;
 
 typedef enum
 {
-  CC_CUT_OFF_RELEASE, /* a zone cut off stops after its lease; others take over
-                       */
-  CC_CUT_OFF_KEEP /* it serves on; nobody takes over until it is listed gone */
+  /* A zone that is cut off stops when its lease expires; others take over. */
+  CC_CUT_OFF_RELEASE,
+  /* It continues to serve; no takeover until the platform lists it as gone. */
+  CC_CUT_OFF_KEEP
 } CcCutOff;
 
 typedef struct
@@ -23,8 +25,8 @@
   char *name;
   CcPreference prefer;
   CcCutOff cut_off;
-  gboolean checks_grants; /* its servers refuse an order that is not granted */
-  guint slices;           /* parts the keys are divided into; fixed for life */
+  gboolean checks_grants; /* its servers reject requests without a grant */
+  guint slices;           /* number of slices; fixed for the pool's life */
 } CcPool;
 
 typedef struct
@@ -32,10 +34,10 @@
   char *name;
   char *pool;
   gboolean once_only; /* not idempotent: at most one attempt */
-  gint64 within;      /* target: answered within, us */
-  double share;       /* ... by this share of requests, 0 to 1 */
-  double reliability; /* target: share that is run, 0 to 1 */
-  gint64 timeout;     /* longest deadline and the default one, us */
+  gint64 within;      /* target: response time, us */
+  double share;       /* target: share of requests within it, 0 to 1 */
+  double reliability; /* target: share of requests that are run, 0 to 1 */
+  gint64 timeout;     /* maximum and default deadline, us */
 } CcClass;
 
 typedef struct
--- a/document_diff.c
+++ b/document_diff.c
@@ -1,7 +1,7 @@
-/* Both documents are flattened to lists of place and value, in order of
- * places, and the lists are compared.  An item of a list that has a name is
- * placed by it and not by its index: otherwise one pool inserted at the front
- * would show every pool behind it as changed. */
+/* Compares two documents.  Each is flattened to a sorted map from place to
+ * value, and the maps are compared.  A list item that has a name is identified
+ * by it and not by its index: otherwise a pool inserted at the front would show
+ * every pool after it as changed. */
 #include "document_diff.h"
 
 #include <string.h>
@@ -51,7 +51,8 @@
   return g_strdup_printf ("%u", index);
 }
 
-/* A number as people write it: JSON-GLib prints 0.99 as 0.98999999999999999. */
+/* Prints a number with 15 digits, as it was written: JSON-GLib prints 0.99 as
+ * 0.98999999999999999. */
 static char *
 print_value (JsonNode *node)
 {
@@ -111,7 +112,7 @@
 typedef struct
 {
   GTree *other;
-  gboolean reversed; /* walks the later document */
+  gboolean reversed; /* the later document is walked, to find what was added */
   GPtrArray *changes;
 } DiffWalk;
 
@@ -140,9 +141,9 @@
   return FALSE;
 }
 
-/* The changes (CcChange) that lead from BEFORE to AFTER, both JSON: first what
- * changed or went, then what was added.  A text that is not JSON counts as
- * empty.  The caller unrefs the array, which owns its items. */
+/* Returns the changes (CcChange) from BEFORE to AFTER, both JSON: first what
+ * was changed or removed, then what was added.  A text that is not JSON counts
+ * as empty.  The caller unrefs the array, which owns its items. */
 GPtrArray *
 cc_document_diff (const char *before, const char *after)
 {
--- a/document_diff.h
+++ b/document_diff.h
@@ -1,4 +1,4 @@
-/* What differs between two documents, for operators. */
+/* Differences between two documents, for display to operators. */
 #ifndef CC_DOCUMENT_DIFF_H
 #define CC_DOCUMENT_DIFF_H
 
@@ -7,8 +7,8 @@
 typedef struct
 {
   char *place;  /* "classes[pay once].timeout_ms" */
-  char *before; /* JSON; NULL: was not there */
-  char *after;  /* JSON; NULL: is there no more */
+  char *before; /* value as JSON; NULL: added */
+  char *after;  /* value as JSON; NULL: removed */
 } CcChange;
 
 GPtrArray *cc_document_diff (const char *before, const char *after);
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -1,5 +1,6 @@
-/* Documents that are refused, and the places that are named; what two of them
- * may differ in; and how a difference is shown. */
+/* Guards against a document with an error that is accepted, or reported at the
+ * wrong place; against a forbidden change between two documents; and against
+ * differences that are shown wrong or not at all. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -103,7 +104,7 @@
     }
 }
 
-/* Two faults in one document are both told. */
+/* All errors of a document are reported, not only the first. */
 static void
 test_all_findings (void **state)
 {
@@ -187,8 +188,9 @@
       count_findings (DOCUMENT (POOL, CLASS), DOCUMENT (POOL_KEEPS, CLASS)), 0);
 }
 
-/* Guards against "keep" that is taken back in two steps: a zone that is cut off
- * misses both, and serves on while its servers are taken over. */
+/* Guards against "keep" that is reverted in two steps, by removal and new
+ * creation of the pool: a zone that is cut off receives neither document, and
+ * continues to serve while its servers are taken over. */
 static void
 keep_is_not_taken_back_by_removal (void **state)
 {
