--- a/secret.c
+++ b/secret.c
@@ -1,19 +1,23 @@
-/* strcmp ends at the first byte that differs, so how long it takes tells a
- * caller how many bytes of a guess were right, and a token can be found byte
- * by byte.  Here the time depends on the length of what was given alone. */
+/* Constant-time comparison of secrets.  strcmp returns at the first byte that
+ * differs, so its duration reveals how many bytes of a guess are right, and a
+ * token could be found byte by byte.  Here the duration depends only on the
+ * length of the input. */
 #include "secret.h"
 
 #include <string.h>
 
-/* Whether GIVEN, from outside, equals WANTED, which must not be empty. */
+/* Returns TRUE if GIVEN, an untrusted input, equals the secret EXPECTED.  An
+ * empty EXPECTED equals nothing. */
 gboolean
-cc_secret_equal (const char *given, const char *wanted)
+cc_secret_equal (const char *given, const char *expected)
 {
-  gsize length = strlen (given), most = strlen (wanted);
-  volatile guint differences = length == most && most > 0 ? 0 : 1;
+  gsize length = strlen (given), expected_length = strlen (expected);
+  volatile guint differences =
+      length == expected_length && expected_length > 0 ? 0 : 1;
 
   for (gsize i = 0; i < length; i++)
     differences |= (guint) (guchar) given[i] ^
-                   (guint) (guchar) wanted[most > 0 ? i % most : 0];
+                   (guint) (guchar)
+                       expected[expected_length > 0 ? i % expected_length : 0];
   return differences == 0;
 }
--- a/settings.c
+++ b/settings.c
@@ -1,5 +1,6 @@
-/* Reads a table of settings with argtable2, fills gaps from the environment,
- * checks every value and reports all faults together with their place. */
+/* Reads a table of settings from the command line with argtable2 and from the
+ * environment, validates every value, and reports all errors with their place,
+ * not only the first. */
 #include "settings.h"
 
 #include <stdio.h>
@@ -11,7 +12,9 @@
 #include "capercrank.h"
 #include "log.h"
 
-#define FIXED 6 /* help, version, check, log-level, log-format, end */
+#define FIXED_ARGUMENTS                                                        \
+  6 /* 3 flags, 2 log settings, end                                            \
+     */
 
 static CcSetting log_settings[] = {
   { CC_SETTING_STRING, "log-level", "info", "debug, info, warning or error", 0,
@@ -27,7 +30,9 @@
   return g_strconcat ("CAPERCRANK_", g_strdelimit (upper, "-", '_'), NULL);
 }
 
-/* Splits "IP:PORT".  The IP must be a number.  Frees nothing on failure. */
+/* Splits "IP:PORT", of which both must be numeric.  IP and PORT may be NULL and
+ * are set on success only; free *IP with g_free.  Returns FALSE if TEXT is
+ * invalid. */
 gboolean
 cc_address_parse (const char *text, char **ip, guint16 *port)
 {
@@ -86,9 +91,10 @@
     }
 }
 
-/* The flag wins, then the environment, then the fallback. */
+/* Sets the value of S from its flag, its environment variable or its fallback,
+ * in this order of precedence, and validates it. */
 static void
-settle_value (CcSetting *s, const struct arg_str *arg, CcFindings *f)
+resolve_value (CcSetting *s, const struct arg_str *arg, CcFindings *f)
 {
   g_autofree char *env = env_name (s->flag);
   const char *value = s->fallback;
@@ -116,7 +122,7 @@
   const char *instance = cc_setting (table, "instance");
 
   if (!cc_log_parse_level (log_settings[0].value, &level))
-    cc_findings_add (f, "--log-level", "\"%s\" is no level",
+    cc_findings_add (f, "--log-level", "\"%s\" is not a log level",
                      log_settings[0].value);
   if (!g_str_equal (format, "plain") && !g_str_equal (format, "json"))
     cc_findings_add (f, "--log-format", "\"%s\" is neither plain nor json",
@@ -131,8 +137,9 @@
   arg_print_syntax (stdout, args, "\n");
   printf ("%s\n\n", summary);
   arg_print_glossary (stdout, args, "  %-28s %s\n");
-  printf ("\nEach flag may be given as CAPERCRANK_ and its name in capitals; "
-          "the flag wins.\n");
+  printf (
+      "\nEach flag can also be set by an environment variable: CAPERCRANK_ and "
+      "its name in\ncapitals, with _ for -.  The flag takes precedence.\n");
 }
 
 static CcStart
@@ -142,28 +149,31 @@
 
   if (cc_findings_count (f) == 0)
     return CC_START_RUN;
-  fprintf (stderr, "%s: %u faults in the settings\n%s", program,
+  fprintf (stderr, "%s: %u errors in the settings\n%s", program,
            cc_findings_count (f), text);
   return CC_START_FAIL;
 }
 
-/* Reads ARGV and the environment into TABLE, which ends with a NULL flag.
- * Prints help, version or all findings as asked. */
+/* Reads ARGV and the environment into TABLE, which ends with a NULL flag and
+ * has at most 60 settings, and sets up the log.  Prints the help, the version
+ * or all findings if they apply. */
 CcStart
 cc_settings_read (CcSetting *table, const char *program, const char *summary,
                   int argc, char **argv)
 {
   CcSetting *all[64];
-  void *args[64 + FIXED];
+  void *args[64 + FIXED_ARGUMENTS];
   struct arg_str *strings[64];
-  struct arg_lit *help = arg_lit0 (NULL, "help", "print this and leave");
-  struct arg_lit *version = arg_lit0 (NULL, "version", "print the version");
-  struct arg_lit *check = arg_lit0 (NULL, "check", "check settings and leave");
+  struct arg_lit *help = arg_lit0 (NULL, "help", "print this help and exit");
+  struct arg_lit *version =
+      arg_lit0 (NULL, "version", "print the version and exit");
+  struct arg_lit *check =
+      arg_lit0 (NULL, "check", "validate the settings and exit");
   struct arg_end *end = arg_end (20);
   CcFindings f;
   CcStart start;
   guint n = 0;
-  int faults;
+  int errors;
 
   for (; table[n].flag != NULL && n < 60; n++)
     all[n] = &table[n];
@@ -175,7 +185,7 @@
   args[n + 1] = version;
   args[n + 2] = check;
   args[n + 3] = end;
-  faults = arg_parse (argc, argv, args);
+  errors = arg_parse (argc, argv, args);
   if (help->count > 0)
     print_help (program, summary, args);
   if (version->count > 0)
@@ -183,13 +193,14 @@
   if (help->count > 0 || version->count > 0)
     return CC_START_STOP;
   cc_findings_init (&f);
-  if (faults > 0)
+  if (errors > 0)
     {
       arg_print_errors (stderr, end, program);
-      cc_findings_add (&f, "command line", "see above; --help lists the flags");
+      cc_findings_add (&f, "command line",
+                       "invalid, see the errors above; --help lists the flags");
     }
   for (guint i = 0; i < n; i++)
-    settle_value (all[i], strings[i], &f);
+    resolve_value (all[i], strings[i], &f);
   setup_log (table, program, &f);
   start = report (&f, program);
   cc_findings_clear (&f);
@@ -202,7 +213,7 @@
   return start;
 }
 
-/* The value of FLAG in TABLE, or NULL if there is no such setting. */
+/* Returns the value of FLAG in TABLE, or NULL if there is no such setting. */
 const char *
 cc_setting (const CcSetting *table, const char *flag)
 {
@@ -212,25 +223,27 @@
   return NULL;
 }
 
-/* The value of the number FLAG, checked before by cc_settings_read. */
+/* Returns the value of the number FLAG, validated by cc_settings_read. */
 gint64
 cc_setting_number (const CcSetting *table, const char *flag)
 {
   return g_ascii_strtoll (cc_setting (table, flag), NULL, 10);
 }
 
-/* The addresses of FLAG as a vector, maybe empty.  The caller frees it. */
+/* Returns the addresses of FLAG as a vector, which may be empty.  Free it with
+ * g_strfreev. */
 char **
 cc_setting_list (const CcSetting *table, const char *flag)
 {
   return g_strsplit (cc_setting (table, flag), ",", -1);
 }
 
-/* Where others reach this process: --advertise, or --listen without it. */
+/* Returns the address at which other processes reach this one: --advertise, or
+ * --listen if that is empty. */
 const char *
 cc_setting_advertised (const CcSetting *table)
 {
-  const char *other = cc_setting (table, "advertise");
+  const char *advertised = cc_setting (table, "advertise");
 
-  return other[0] != '\0' ? other : cc_setting (table, "listen");
+  return advertised[0] != '\0' ? advertised : cc_setting (table, "listen");
 }
--- a/settings.h
+++ b/settings.h
@@ -1,4 +1,4 @@
-/* Settings of a program: a flag, or a CAPERCRANK_ environment variable. */
+/* Settings of a program, each a flag or a CAPERCRANK_ environment variable. */
 #ifndef CC_SETTINGS_H
 #define CC_SETTINGS_H
 
@@ -9,7 +9,7 @@
 typedef enum
 {
   CC_SETTING_STRING,    /* any text */
-  CC_SETTING_ADDRESS,   /* IP:PORT by number */
+  CC_SETTING_ADDRESS,   /* IP:PORT, both numeric */
   CC_SETTING_ADDRESSES, /* comma-separated IP:PORT, may be empty */
   CC_SETTING_NUMBER     /* a whole number from least to most */
 } CcSettingKind;
@@ -18,17 +18,17 @@
 {
   CcSettingKind kind;
   const char *flag;     /* long flag without dashes; NULL ends a table */
-  const char *fallback; /* value if neither is given; NULL: required */
+  const char *fallback; /* default value; NULL: the setting is required */
   const char *help;     /* one line for --help */
   gint64 least, most;   /* bounds of a number */
-  char *value;          /* filled in */
+  char *value;          /* set by cc_settings_read */
 } CcSetting;
 
 typedef enum
 {
-  CC_START_RUN,  /* go on */
-  CC_START_STOP, /* --help, --version or --check: leave with 0 */
-  CC_START_FAIL  /* findings were printed: leave with 2 */
+  CC_START_RUN,  /* settings are valid: run */
+  CC_START_STOP, /* --help, --version or --check: exit with 0 */
+  CC_START_FAIL  /* findings were printed: exit with 2 */
 } CcStart;
 
 CcStart cc_settings_read (CcSetting *table, const char *program,
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -1,4 +1,5 @@
-/* Flags, environment and what is refused; and the comparison of tokens. */
+/* Guards against invalid settings that are accepted, a wrong precedence of
+ * flag, environment and default, and a wrong comparison of tokens. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -14,7 +15,7 @@
   const char *args[4]; /* after the program's name */
   const char *env;     /* of CAPERCRANK_COUNT; NULL: not set */
   CcStart start;
-  const char *count; /* value of count; NULL: not looked at */
+  const char *count; /* value of count; NULL: not checked */
 } Case;
 
 static const Case cases[] = {
