--- a/event_log.c
+++ b/event_log.c
@@ -1,12 +1,12 @@
-/* One JSON object a line, written without ever waiting.
+/* One JSON object per line, written without blocking.
  *
- * Load pattern: under overload every request fails and wants a line.  Without
- * a bound the log takes the processor from the work, and a reader that stops
- * reading stops the process.  So each kind has a budget of lines a second; the
- * file is written without blocking, and what does not fit into the pipe waits
- * in a bounded buffer and is dropped beyond it.  Dropped lines are counted and
- * the count is written once there is room.  Failed requests have a budget of
- * their own and go before those that went well. */
+ * Load pattern: under overload every request fails and would produce a line.
+ * Without a limit, logging takes CPU time from requests, and a reader that
+ * stops reading blocks the process.  So each kind of line has a token bucket;
+ * the file is non-blocking, and what the pipe does not take is kept in a
+ * bounded buffer and dropped when that is full.  Dropped lines are counted, and
+ * the count is logged once there is capacity.  Failed requests have a budget of
+ * their own, so that lines on successful ones can't displace them. */
 #include "event_log.h"
 
 #include <errno.h>
@@ -19,8 +19,8 @@
 #include "clock.h"
 #include "metrics.h"
 
-/* Lines a second of each kind, and how many may come at once.  A line costs
- * about 10 us; 20 plain successes a second are 0.02% of a core. */
+/* Token bucket of each kind: lines per second, and burst.  A line costs about
+ * 10 us, so 20 lines per second take 0.02% of a core. */
 static const struct
 {
   double rate, burst;
@@ -30,24 +30,24 @@
   [CC_EVENT_SERVED] = { 10, 40 },
 };
 
-/* How often it is said how many lines of a kind were left out. */
-#define TELL_PERIOD (1 * CC_SECOND)
-#define PENDING_MAX (64 * 1024) /* bytes that wait for the reader */
-#define NUMBERS 16              /* numbers formatted for one line at most */
+/* Minimum time between two reports of dropped lines of a kind, us. */
+#define DROPPED_REPORT_PERIOD (1 * CC_SECOND)
+#define PENDING_MAX (64 * 1024) /* bytes buffered for the reader */
+#define NUMBERS 16              /* maximum number of integers in one line */
 
 static struct
 {
   char *program;
   char *instance;
   int file;
-  GString *pending; /* whole lines, the first maybe partly written */
+  GString *pending; /* whole lines; the first may be partly written */
   struct
   {
     double tokens;
-    gint64 updated; /* us */
+    gint64 updated; /* when tokens were added last, us */
     guint64 dropped;
-    guint64 told;   /* dropped lines that a line has told of */
-    gint64 told_at; /* us */
+    guint64 reported;   /* part of dropped that has been logged */
+    gint64 reported_at; /* us */
     CcCounter *counter;
   } kinds[CC_EVENT_KINDS];
 } events = { .file = -1 };
@@ -55,7 +55,8 @@
 static const char *const kind_names[CC_EVENT_KINDS] = { "state", "failed",
                                                         "served" };
 
-/* Lines of PROGRAM on INSTANCE go to FILE, which is made non-blocking. */
+/* Opens the event log of PROGRAM on INSTANCE; FILE is its file descriptor,
+ * which is made non-blocking.  Call it once, before the first cc_event. */
 void
 cc_event_setup (const char *program, const char *instance, int file)
 {
@@ -77,7 +78,7 @@
     }
 }
 
-/* Writes what waits, as much as the reader takes now. */
+/* Writes as much of the buffered lines as FILE accepts without blocking. */
 void
 cc_event_flush (void)
 {
@@ -132,7 +133,7 @@
 }
 
 static gboolean
-put_line (GString *line)
+append_line (GString *line)
 {
   g_string_append (line, "}\n");
   if (events.pending->len + line->len > PENDING_MAX)
@@ -143,7 +144,7 @@
 }
 
 static void
-drop (CcEventKind kind)
+count_dropped (CcEventKind kind)
 {
   events.kinds[kind].dropped++;
   ++*events.kinds[kind].counter;
@@ -163,23 +164,24 @@
   events.kinds[kind].updated = now;
 }
 
-/* Says how many lines of KIND were left out since this was last said. */
+/* Logs how many lines of KIND were dropped since the last report. */
 static void
-tell_dropped (CcEventKind kind)
+report_dropped (CcEventKind kind)
 {
   g_autoptr (GString) line = g_string_new (NULL);
   guint64 dropped = events.kinds[kind].dropped;
 
   begin_line (line, "log-lines-dropped");
   g_string_append_printf (line, ",\"kind\":\"%s\",\"count\":%" G_GUINT64_FORMAT,
-                          kind_names[kind], dropped - events.kinds[kind].told);
-  events.kinds[kind].told_at = events.kinds[kind].updated;
-  if (put_line (line))
-    events.kinds[kind].told = dropped;
+                          kind_names[kind],
+                          dropped - events.kinds[kind].reported);
+  events.kinds[kind].reported_at = events.kinds[kind].updated;
+  if (append_line (line))
+    events.kinds[kind].reported = dropped;
 }
 
-/* Whether a line of KIND would be written now, to spare its making; counts a
- * dropped line if not. */
+/* Returns TRUE if the budget of KIND permits a line now; otherwise counts a
+ * dropped line.  A caller uses it to save the cost of formatting a line. */
 gboolean
 cc_event_allowed (CcEventKind kind)
 {
@@ -188,12 +190,14 @@
   refill (kind);
   if (events.kinds[kind].tokens >= 1.0)
     return TRUE;
-  drop (kind);
+  count_dropped (kind);
   return FALSE;
 }
 
-/* Writes a line for EVENT: pairs of a name and a text, ended by NULL.  Texts
- * made by cc_event_int stand without quotes. */
+/* Writes a line for EVENT with the fields given as pairs of name and text,
+ * ended by NULL.  A text made by cc_event_int is written as a number, without
+ * quotes.  The line is dropped and counted if the budget or the buffer is
+ * exhausted. */
 void
 cc_event (CcEventKind kind, const char *event, ...)
 {
@@ -204,9 +208,10 @@
   if (!cc_event_allowed (kind))
     return;
   events.kinds[kind].tokens -= 1.0;
-  if (events.kinds[kind].dropped > events.kinds[kind].told &&
-      events.kinds[kind].updated >= events.kinds[kind].told_at + TELL_PERIOD)
-    tell_dropped (kind);
+  if (events.kinds[kind].dropped > events.kinds[kind].reported &&
+      events.kinds[kind].updated >=
+          events.kinds[kind].reported_at + DROPPED_REPORT_PERIOD)
+    report_dropped (kind);
   line = g_string_new (NULL);
   begin_line (line, event);
   va_start (args, event);
@@ -224,11 +229,12 @@
         append_field (line, name, value != NULL ? value : "");
     }
   va_end (args);
-  if (!put_line (line))
-    drop (kind);
+  if (!append_line (line))
+    count_dropped (kind);
 }
 
-/* NUMBER as the value of a field.  Valid until NUMBERS more were formatted. */
+/* Formats NUMBER as the value of a field.  The result is valid until NUMBERS
+ * further calls. */
 const char *
 cc_event_int (gint64 number)
 {
@@ -240,7 +246,7 @@
   return text;
 }
 
-/* Lines of KIND that were left out since the start. */
+/* Returns the number of lines of KIND dropped since the start. */
 guint64
 cc_event_dropped (CcEventKind kind)
 {
--- a/event_log.h
+++ b/event_log.h
@@ -1,16 +1,16 @@
-/* Structured lines on standard output: decisions about requests, and changes
- * of what the process believes. */
+/* Event log: rate-limited JSON lines about decisions on requests and about the
+ * state of the process. */
 #ifndef CC_EVENT_LOG_H
 #define CC_EVENT_LOG_H
 
 #include <glib.h>
 
-/* Which budget a line is taken from. */
+/* Kind of a line; each has a rate limit of its own. */
 typedef enum
 {
-  CC_EVENT_STATE,  /* what the process believes, start, stop, dependencies */
-  CC_EVENT_FAILED, /* a request that was refused or failed */
-  CC_EVENT_SERVED, /* a request that went well, and steps on its way */
+  CC_EVENT_STATE,  /* state of the process: start, stop, dependencies */
+  CC_EVENT_FAILED, /* a request that was rejected or failed */
+  CC_EVENT_SERVED, /* a request that succeeded, and steps of its processing */
   CC_EVENT_KINDS
 } CcEventKind;
 
--- a/log.c
+++ b/log.c
@@ -1,6 +1,6 @@
-/* Lines go to standard error, plain or JSON, with wall time, level, program,
- * instance and event.  What happens often is counted (metrics.h), not logged:
- * a line is for a change of state that a person on call would want to see. */
+/* Writes lines to standard error, plain or JSON, with wall-clock time, level,
+ * program, instance and event.  Frequent events are counted (metrics.h), not
+ * logged: a line is for a change of state that matters to a person on call. */
 #include "log.h"
 
 #include <stdio.h>
@@ -9,16 +9,17 @@
 
 static struct
 {
-  char *program;     /* name of the binary */
-  char *instance;    /* the instance it runs on */
-  CcLogLevel lowest; /* lines below are dropped */
+  char *program;     /* name of the program */
+  char *instance;    /* instance on which it runs */
+  CcLogLevel lowest; /* lines of a lower level are dropped */
   gboolean json;     /* JSON lines in place of plain ones */
 } logger = { .lowest = CC_LOG_INFO };
 
 static const char *const level_names[] = { "debug", "info", "warning",
                                            "error" };
 
-/* Sets who speaks, the LOWEST level to print, and JSON or plain lines. */
+/* Sets the program and instance that the lines name, the LOWEST level to print,
+ * and JSON or plain format.  Copies the strings. */
 void
 cc_log_setup (const char *program, const char *instance, CcLogLevel lowest,
               gboolean json)
@@ -31,7 +32,7 @@
   logger.json = json;
 }
 
-/* Reads a level by name.  Returns FALSE if WORD is none. */
+/* Parses the name of a level.  Returns FALSE if WORD is not one. */
 gboolean
 cc_log_parse_level (const char *word, CcLogLevel *level)
 {
@@ -45,13 +46,13 @@
 }
 
 static void
-print_json (const char *when, CcLogLevel level, const char *event,
+print_json (const char *time_text, CcLogLevel level, const char *event,
             const char *text)
 {
   g_autoptr (JsonBuilder) b = json_builder_new ();
   g_autoptr (JsonNode) root = NULL;
   g_autofree char *line = NULL;
-  const char *fields[][2] = { { "time", when },
+  const char *fields[][2] = { { "time", time_text },
                               { "level", level_names[level] },
                               { "program", logger.program },
                               { "instance", logger.instance },
@@ -70,12 +71,13 @@
   fprintf (stderr, "%s\n", line);
 }
 
-/* Writes one line for a change of state named EVENT. */
+/* Writes one line for a change of state named EVENT, with a printf-style
+ * message, unless LEVEL is below the lowest one set. */
 void
 cc_log (CcLogLevel level, const char *event, const char *format, ...)
 {
   g_autoptr (GDateTime) now = NULL;
-  g_autofree char *when = NULL;
+  g_autofree char *time_text = NULL;
   g_autofree char *text = NULL;
   va_list args;
 
@@ -85,11 +87,11 @@
   text = g_strdup_vprintf (format, args);
   va_end (args);
   now = g_date_time_new_now_utc ();
-  when = g_date_time_format (now, "%Y-%m-%dT%H:%M:%S.%fZ");
+  time_text = g_date_time_format (now, "%Y-%m-%dT%H:%M:%S.%fZ");
   if (logger.json)
-    print_json (when, level, event, text);
+    print_json (time_text, level, event, text);
   else
-    fprintf (stderr, "%s %-7s %s %s %s: %s\n", when, level_names[level],
+    fprintf (stderr, "%s %-7s %s %s %s: %s\n", time_text, level_names[level],
              logger.program ? logger.program : "-",
              logger.instance ? logger.instance : "-", event, text);
 }
--- a/log.h
+++ b/log.h
@@ -1,4 +1,4 @@
-/* A small logger: one structured line for each change of state. */
+/* Log for operators: one structured line for each change of state. */
 #ifndef CC_LOG_H
 #define CC_LOG_H
 
--- a/test/test_event_log.c
+++ b/test/test_event_log.c
@@ -1,5 +1,6 @@
-/* Lines of the event log: their fields, their budgets, and a reader that stops
- * reading, which must neither block the process nor tear a line. */
+/* Guards against event log lines with wrong fields or beyond their budget, and
+ * against a reader that stops reading, which must neither block the process nor
+ * cause a truncated line. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -77,7 +78,7 @@
 }
 
 /* Overload: 5000 lines in one second.  Those beyond the budget are counted, and
- * the count stands in the log once there is room. */
+ * the count is logged once there is capacity. */
 static void
 lines_beyond_the_budget_are_counted (void **state)
 {
@@ -121,7 +122,7 @@
       g_autoptr (JsonNode) root = json_from_string (lines[i], NULL);
 
       if (root == NULL)
-        fail_msg ("a torn line: %s", lines[i]);
+        fail_msg ("a truncated line: %s", lines[i]);
     }
 }
 
