--- a/findings.c
+++ b/findings.c
@@ -1,15 +1,15 @@
-/* A list of findings.  Validation goes on after the first fault, so that an
- * operator mends a document or a command line in one go. */
+/* A list of findings.  Validation continues after the first error, so that an
+ * operator can correct a document or a command line in one pass. */
 #include "findings.h"
 
 static void
 finding_free (gpointer data)
 {
-  CcFinding *one = data;
+  CcFinding *finding = data;
 
-  g_free (one->place);
-  g_free (one->text);
-  g_free (one);
+  g_free (finding->place);
+  g_free (finding->text);
+  g_free (finding);
 }
 
 /* Makes F an empty list. */
@@ -19,35 +19,35 @@
   f->list = g_ptr_array_new_with_free_func (finding_free);
 }
 
-/* Frees what F holds. */
+/* Frees the findings of F. */
 void
 cc_findings_clear (CcFindings *f)
 {
   g_clear_pointer (&f->list, g_ptr_array_unref);
 }
 
-/* Adds a finding at PLACE with a printf-style sentence. */
+/* Adds a finding at PLACE with a printf-style message. */
 void
 cc_findings_add (CcFindings *f, const char *place, const char *format, ...)
 {
-  CcFinding *one = g_new0 (CcFinding, 1);
+  CcFinding *finding = g_new0 (CcFinding, 1);
   va_list args;
 
   va_start (args, format);
-  one->place = g_strdup (place);
-  one->text = g_strdup_vprintf (format, args);
+  finding->place = g_strdup (place);
+  finding->text = g_strdup_vprintf (format, args);
   va_end (args);
-  g_ptr_array_add (f->list, one);
+  g_ptr_array_add (f->list, finding);
 }
 
-/* How many findings F holds. */
+/* Returns the number of findings in F. */
 guint
 cc_findings_count (const CcFindings *f)
 {
   return f->list->len;
 }
 
-/* All findings, a line each: "place: sentence".  The caller frees it. */
+/* Returns all findings as lines "place: message".  Free it with g_free. */
 char *
 cc_findings_text (const CcFindings *f)
 {
@@ -55,9 +55,9 @@
 
   for (guint i = 0; i < f->list->len; i++)
     {
-      const CcFinding *one = f->list->pdata[i];
+      const CcFinding *finding = f->list->pdata[i];
 
-      g_string_append_printf (s, "%s: %s\n", one->place, one->text);
+      g_string_append_printf (s, "%s: %s\n", finding->place, finding->text);
     }
   return g_string_free (s, FALSE);
 }
--- a/findings.h
+++ b/findings.h
@@ -1,4 +1,5 @@
-/* Faults found in an input, collected with their place, reported together. */
+/* Validation errors of an input, collected with their place and reported
+ * together. */
 #ifndef CC_FINDINGS_H
 #define CC_FINDINGS_H
 
@@ -7,7 +8,7 @@
 typedef struct
 {
   char *place; /* where: "--timeout" or "classes[2].target.share" */
-  char *text;  /* what is wrong, in a sentence */
+  char *text;  /* error message */
 } CcFinding;
 
 typedef struct
--- a/histograms.c
+++ b/histograms.c
@@ -1,12 +1,13 @@
-/* A name's histogram is made when the name is first seen; after that counting
- * is one look-up without allocation.  Tenants' names come from outside, so
- * their number is bounded: those past TENANTS_MAX share one histogram. */
+/* The histogram of a name is created when the name is first used; after that,
+ * counting is one hash lookup without allocation.  Tenants' names are untrusted
+ * input, so their number is bounded: beyond TENANTS_MAX, further tenants share
+ * one histogram. */
 #include "histograms.h"
 
-#define TENANTS_MAX 500 /* of 5 kB each: 2.5 MB a quantity */
-#define OTHER "other tenants"
+#define TENANTS_MAX 500 /* 5 kB each, 2.5 MB per quantity */
+#define OTHER_TENANTS "other tenants"
 
-/* Makes H empty; METRIC must last as long as H. */
+/* Makes H empty.  METRIC must outlive H. */
 void
 cc_histograms_init (CcHistograms *h, const char *metric)
 {
@@ -20,35 +21,38 @@
           const char *name)
 {
   g_autofree char *labels = g_strdup_printf ("%s=\"%s\"", label, name);
-  CcHistogram *one = cc_metrics_histogram (h->metric, labels);
+  CcHistogram *histogram = cc_metrics_histogram (h->metric, labels);
 
-  g_hash_table_insert (table, g_strdup (name), one);
-  return one;
+  g_hash_table_insert (table, g_strdup (name), histogram);
+  return histogram;
 }
 
-/* The histogram of the class NAME, valid for ever. */
+/* Returns the histogram of the class NAME, which is never freed. */
 CcHistogram *
 cc_histograms_class (CcHistograms *h, const char *name)
 {
-  CcHistogram *one = g_hash_table_lookup (h->classes, name);
+  CcHistogram *histogram = g_hash_table_lookup (h->classes, name);
 
-  return one != NULL ? one : add_name (h, h->classes, "class", name);
+  return histogram != NULL ? histogram
+                           : add_name (h, h->classes, "class", name);
 }
 
-/* The histogram of the tenant NAME, valid for ever. */
+/* Returns the histogram of the tenant NAME, or the shared one if there are
+ * TENANTS_MAX already.  It is never freed. */
 CcHistogram *
 cc_histograms_tenant (CcHistograms *h, const char *name)
 {
-  CcHistogram *one = g_hash_table_lookup (h->tenants, name);
+  CcHistogram *histogram = g_hash_table_lookup (h->tenants, name);
 
-  if (one != NULL)
-    return one;
-  if (g_hash_table_size (h->tenants) < TENANTS_MAX || g_str_equal (name, OTHER))
+  if (histogram != NULL)
+    return histogram;
+  if (g_hash_table_size (h->tenants) < TENANTS_MAX ||
+      g_str_equal (name, OTHER_TENANTS))
     return add_name (h, h->tenants, "tenant", name);
-  return cc_histograms_tenant (h, OTHER);
+  return cc_histograms_tenant (h, OTHER_TENANTS);
 }
 
-/* Adds VALUE, in microseconds, to both of its histograms. */
+/* Adds VALUE, in microseconds, to the histograms of class and tenant. */
 void
 cc_histograms_add (CcHistograms *h, const char *class_name, const char *tenant,
                    gint64 value)
--- a/histograms.h
+++ b/histograms.h
@@ -1,4 +1,4 @@
-/* Histograms of one quantity for each class and each tenant. */
+/* Histograms of one quantity, per class and per tenant. */
 #ifndef CC_HISTOGRAMS_H
 #define CC_HISTOGRAMS_H
 
@@ -6,7 +6,7 @@
 
 typedef struct
 {
-  const char *metric;  /* name of the quantity */
+  const char *metric;  /* metric name */
   GHashTable *classes; /* class name to CcHistogram */
   GHashTable *tenants; /* tenant name to CcHistogram */
 } CcHistograms;
--- a/metrics.c
+++ b/metrics.c
@@ -1,16 +1,15 @@
-/* One registry per process, touched by its main loop only.
+/* One metrics registry per process, used by its main loop only.
  *
- * A caller looks its counter up once and keeps the pointer: counting then
- * allocates nothing.  Labels come preformatted, class="book once", and their
- * number is bounded here, since a tenant's name comes from outside: past
- * SERIES_MAX a name's further labels share one series, labelled "other".
- */
+ * Callers look a counter up once and keep the pointer, so counting allocates
+ * nothing.  Labels are passed preformatted, such as class="book once".  The
+ * number of series is bounded, since tenants' names are untrusted input: beyond
+ * SERIES_MAX, further labels of a metric share one series, labelled "other". */
 #include "metrics.h"
 
 #include <math.h>
 #include <string.h>
 
-#define SERIES_MAX 4096 /* keeps a flood of tenant names under 20 MB */
+#define SERIES_MAX 4096 /* bounds a flood of tenant names to 20 MB */
 #define STEP_BITS 4     /* 16 linear steps in a power of two */
 
 typedef enum
@@ -61,7 +60,7 @@
   return (gint64) (((guint64) (16 + (index & 15)) + 1) << shift) - 1;
 }
 
-/* Adds VALUE, in microseconds; below zero counts as zero. */
+/* Adds VALUE, in microseconds, to H; a negative one counts as 0. */
 void
 cc_histogram_add (CcHistogram *h, gint64 value)
 {
@@ -72,20 +71,20 @@
   h->sum += v;
 }
 
-/* The value below which SHARE (0 to 1) of the values lie, as the upper edge of
- * its bucket in microseconds; 0 if H is empty. */
+/* Returns the quantile SHARE (0 to 1) of H as the upper bound of its bucket, in
+ * microseconds; 0 if H is empty. */
 gint64
 cc_histogram_quantile (const CcHistogram *h, double share)
 {
   guint64 rank = (guint64) ceil (share * (double) h->total);
-  guint64 seen = 0;
+  guint64 cumulative = 0;
 
   if (h->total == 0)
     return 0;
   for (guint i = 0; i < CC_HISTOGRAM_BUCKETS; i++)
     {
-      seen += h->counts[i];
-      if (seen >= MAX (rank, 1))
+      cumulative += h->counts[i];
+      if (cumulative >= MAX (rank, 1))
         return bucket_top (i);
     }
   return bucket_top (CC_HISTOGRAM_BUCKETS - 1);
@@ -122,14 +121,14 @@
   return s;
 }
 
-/* The counter NAME with LABELS, made at first use.  Valid for ever. */
+/* Returns the counter NAME with LABELS, created on first use, never freed. */
 CcCounter *
 cc_metrics_counter (const char *name, const char *labels)
 {
   return &find_series (SERIES_COUNTER, name, labels)->u.counter;
 }
 
-/* The histogram NAME with LABELS, made at first use.  Valid for ever. */
+/* Returns the histogram NAME with LABELS, created on first use, never freed. */
 CcHistogram *
 cc_metrics_histogram (const char *name, const char *labels)
 {
@@ -184,8 +183,8 @@
   return FALSE;
 }
 
-/* COLLECT is called with DATA each time before the series are printed.  Gauges
- * that it sets cost nothing while nobody reads them. */
+/* Sets the function that is called with DATA each time before the series are
+ * printed.  Gauges set by it cost nothing between scrapes. */
 void
 cc_metrics_set_collector (CcMetricsCollect collect, gpointer data)
 {
@@ -193,7 +192,7 @@
   collector_data = data;
 }
 
-/* Every series as text, times in seconds.  The caller frees it. */
+/* Returns all series as text, times in seconds.  Free it with g_free. */
 char *
 cc_metrics_text (void)
 {
--- a/metrics.h
+++ b/metrics.h
@@ -1,18 +1,18 @@
-/* Counters and histograms, printed in the text format of monitoring systems. */
+/* Counters, gauges and histograms, printed in the Prometheus text format. */
 #ifndef CC_METRICS_H
 #define CC_METRICS_H
 
 #include <glib.h>
 
-/* Log-linear: 16 linear steps in each power of two, 6% wide at most, from 1 us
+/* Log-linear buckets: 16 in each power of two, each at most 6% wide, from 1 us
  * to 2^40 us (12 days). */
 #define CC_HISTOGRAM_BUCKETS (16 * 38)
 
 typedef struct
 {
   guint64 counts[CC_HISTOGRAM_BUCKETS]; /* values in each bucket */
-  guint64 total;                        /* values in all */
-  guint64 sum;                          /* of the values, us */
+  guint64 total;                        /* number of values */
+  guint64 sum;                          /* sum of the values, us */
 } CcHistogram;
 
 typedef guint64 CcCounter;
