--- a/fd_watch.c
+++ b/fd_watch.c
@@ -1,20 +1,21 @@
-/* GLib's main loop visits every source in every iteration and polls all their
- * descriptors.  With hundreds of kept connections each wake-up then costs more
- * than the work it brings.  Here all descriptors stand in one epoll set behind
- * a single source: an iteration visits one source, and a wake-up only the
- * descriptors that are ready. */
+/* Watches file descriptors through one epoll set.  GLib's main loop visits
+ * every source and polls all their descriptors in every iteration; with
+ * hundreds of idle connections each wake-up would cost more than the work it is
+ * for.  With all descriptors in one epoll set behind a single source, an
+ * iteration visits one source, and a wake-up handles only the descriptors that
+ * are ready. */
 #include "fd_watch.h"
 
 #include <errno.h>
 #include <glib-unix.h>
 #include <sys/epoll.h>
 
-#define BATCH 64 /* events taken in one iteration */
+#define BATCH 64 /* maximum number of events handled in one iteration */
 
-static int set = -1; /* the epoll set */
+static int epoll_fd = -1; /* -1: not created yet */
 
-/* The events being dispatched.  A callback may stop any watch, so those that
- * are stopped are removed from the rest of the batch. */
+/* The events being dispatched.  A callback may stop any watch, so
+ * cc_fd_watch_stop removes its watch from the rest of the batch. */
 static struct epoll_event batch[BATCH];
 static int batch_next, batch_end;
 
@@ -33,10 +34,10 @@
 }
 
 static gboolean
-on_events (gint fd, GIOCondition seen, gpointer unused)
+on_events (gint fd, GIOCondition occurred, gpointer unused)
 {
-  (void) fd, (void) seen, (void) unused;
-  batch_end = epoll_wait (set, batch, BATCH, 0);
+  (void) fd, (void) occurred, (void) unused;
+  batch_end = epoll_wait (epoll_fd, batch, BATCH, 0);
   for (batch_next = 0; batch_next < batch_end;)
     {
       struct epoll_event *e = &batch[batch_next++];
@@ -50,55 +51,57 @@
 }
 
 static void
-open_set (void)
+open_epoll (void)
 {
-  set = epoll_create1 (EPOLL_CLOEXEC);
-  if (set < 0)
-    g_error ("no epoll set: %s", g_strerror (errno));
-  g_unix_fd_add (set, G_IO_IN, on_events, NULL);
+  epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
+  if (epoll_fd < 0)
+    g_error ("epoll_create1 failed: %s", g_strerror (errno));
+  g_unix_fd_add (epoll_fd, G_IO_IN, on_events, NULL);
 }
 
 static void
-control (int operation, CcFdWatch *w)
+update_epoll (int operation, CcFdWatch *w)
 {
-  struct epoll_event e = { .events = to_epoll (w->wants), .data.ptr = w };
+  struct epoll_event e = { .events = to_epoll (w->conditions), .data.ptr = w };
 
-  if (epoll_ctl (set, operation, w->fd, &e) < 0)
-    g_error ("can't watch descriptor %d: %s", w->fd, g_strerror (errno));
+  if (epoll_ctl (epoll_fd, operation, w->fd, &e) < 0)
+    g_error ("epoll_ctl failed for descriptor %d: %s", w->fd,
+             g_strerror (errno));
 }
 
-/* Calls READY with DATA in the main loop whenever FD has one of the conditions
- * WANTS, or a hang-up or an error, until W is stopped.  W must stay where it is
- * and FD open until then. */
+/* Calls READY with DATA in the main loop whenever FD has one of CONDITIONS, or
+ * a hang-up or an error, until W is stopped.  Until then W must not move in
+ * memory and FD must stay open.  Aborts if epoll fails. */
 void
-cc_fd_watch_start (CcFdWatch *w, int fd, GIOCondition wants,
-                   void (*ready) (GIOCondition seen, gpointer data),
+cc_fd_watch_start (CcFdWatch *w, int fd, GIOCondition conditions,
+                   void (*ready) (GIOCondition occurred, gpointer data),
                    gpointer data)
 {
-  if (set < 0)
-    open_set ();
-  *w = (CcFdWatch){ fd, wants, ready, data };
-  control (EPOLL_CTL_ADD, w);
+  if (epoll_fd < 0)
+    open_epoll ();
+  *w = (CcFdWatch){ fd, conditions, ready, data };
+  update_epoll (EPOLL_CTL_ADD, w);
 }
 
-/* Changes the conditions of W, which runs, to WANTS. */
+/* Changes the conditions of W, which must be running, to CONDITIONS. */
 void
-cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition wants)
+cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition conditions)
 {
-  if (w->wants == wants)
+  if (w->conditions == conditions)
     return;
-  w->wants = wants;
-  control (EPOLL_CTL_MOD, w);
+  w->conditions = conditions;
+  update_epoll (EPOLL_CTL_MOD, w);
 }
 
-/* Stops W if it runs.  Its READY is not called any more. */
+/* Stops W if it is running.  Its callback is not called after that, not even
+ * for an event that has already been received. */
 void
 cc_fd_watch_stop (CcFdWatch *w)
 {
-  if (w->wants == 0)
+  if (w->conditions == 0)
     return;
-  control (EPOLL_CTL_DEL, w);
-  w->wants = 0;
+  update_epoll (EPOLL_CTL_DEL, w);
+  w->conditions = 0;
   for (int i = batch_next; i < batch_end; i++)
     if (batch[i].data.ptr == w)
       batch[i].data.ptr = NULL;
--- a/fd_watch.h
+++ b/fd_watch.h
@@ -1,22 +1,22 @@
-/* Many file descriptors on one source of the main loop. */
+/* Watches many file descriptors through one source of the main loop. */
 #ifndef CC_FD_WATCH_H
 #define CC_FD_WATCH_H
 
 #include <glib.h>
 
-/* One watch, embedded in what it belongs to; all zero is a stopped one. */
+/* One watch, embedded in the struct that owns it.  All zero means stopped. */
 typedef struct
 {
   int fd;
-  GIOCondition wants; /* 0: stopped */
-  void (*ready) (GIOCondition seen, gpointer data);
-  gpointer data; /* of ready */
+  GIOCondition conditions; /* watched for; 0: stopped */
+  void (*ready) (GIOCondition occurred, gpointer data);
+  gpointer data; /* passed to ready */
 } CcFdWatch;
 
-void cc_fd_watch_start (CcFdWatch *w, int fd, GIOCondition wants,
-                        void (*ready) (GIOCondition seen, gpointer data),
+void cc_fd_watch_start (CcFdWatch *w, int fd, GIOCondition conditions,
+                        void (*ready) (GIOCondition occurred, gpointer data),
                         gpointer data);
-void cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition wants);
+void cc_fd_watch_set_conditions (CcFdWatch *w, GIOCondition conditions);
 void cc_fd_watch_stop (CcFdWatch *w);
 
 #endif
--- a/test/test_fd_watch.c
+++ b/test/test_fd_watch.c
@@ -1,5 +1,5 @@
-/* Many descriptors on one source: who is called, and what an iteration of the
- * main loop costs. */
+/* Guards against callbacks with wrong conditions or after their watch was
+ * stopped, and against a main loop whose cost grows with idle descriptors. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,7 +17,7 @@
 {
   int ends[2]; /* the first is watched */
   CcFdWatch watch;
-  GIOCondition seen; /* in the last call */
+  GIOCondition occurred; /* in the last call */
   guint calls;
   gboolean stops_next; /* its callback stops the watch of the next pair */
 } Pair;
@@ -25,22 +25,22 @@
 static Pair pairs[PAIRS];
 
 static void
-on_ready (GIOCondition seen, gpointer data)
+on_ready (GIOCondition occurred, gpointer data)
 {
   Pair *p = data;
 
-  p->seen = seen;
+  p->occurred = occurred;
   p->calls++;
   if (p->stops_next)
     cc_fd_watch_stop (&p[1].watch);
 }
 
 static void
-pair_open (Pair *p, GIOCondition wants)
+pair_open (Pair *p, GIOCondition conditions)
 {
   *p = (Pair){ 0 };
   assert_int_equal (socketpair (AF_UNIX, SOCK_STREAM, 0, p->ends), 0);
-  cc_fd_watch_start (&p->watch, p->ends[0], wants, on_ready, p);
+  cc_fd_watch_start (&p->watch, p->ends[0], conditions, on_ready, p);
 }
 
 static void
@@ -52,7 +52,7 @@
 }
 
 static void
-turn (void)
+iterate_main_loop (void)
 {
   for (guint i = 0; i < 8; i++)
     g_main_context_iteration (NULL, FALSE);
@@ -68,9 +68,9 @@
 typedef struct
 {
   const char *name;
-  GIOCondition wants;
+  GIOCondition conditions;
   Do what; /* at the other end */
-  GIOCondition seen;
+  GIOCondition occurred;
 } Case;
 
 static const Case cases[] = {
@@ -82,7 +82,7 @@
 };
 
 static void
-conditions_are_told (void **state)
+conditions_are_reported (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -90,35 +90,35 @@
       const Case *c = &cases[i];
       Pair *p = &pairs[0];
 
-      pair_open (p, c->wants);
+      pair_open (p, c->conditions);
       if (c->what == DO_WRITE)
         assert_int_equal (write (p->ends[1], "x", 1), 1);
       if (c->what == DO_CLOSE)
         assert_int_equal (shutdown (p->ends[1], SHUT_RDWR), 0);
-      turn ();
-      if (p->seen != c->seen)
-        fail_msg ("%s: saw %d, not %d", c->name, p->seen, c->seen);
+      iterate_main_loop ();
+      if (p->occurred != c->occurred)
+        fail_msg ("%s: got %d, expected %d", c->name, p->occurred, c->occurred);
       pair_close (p);
     }
 }
 
 static void
-wants_change (void **state)
+conditions_change (void **state)
 {
   Pair *p = &pairs[0];
 
   (void) state;
   pair_open (p, G_IO_IN);
-  turn ();
+  iterate_main_loop ();
   assert_int_equal (p->calls, 0);
   cc_fd_watch_set_conditions (&p->watch, G_IO_IN | G_IO_OUT);
-  turn ();
-  assert_int_equal (p->seen, G_IO_OUT);
+  iterate_main_loop ();
+  assert_int_equal (p->occurred, G_IO_OUT);
   pair_close (p);
 }
 
-/* Guards against a call to a watch that another callback of the same iteration
- * has stopped, whose owner may be freed. */
+/* Guards against a callback of a watch that another callback of the same
+ * iteration has stopped: its owner may have been freed. */
 static void
 a_stopped_watch_is_not_called (void **state)
 {
@@ -131,7 +131,7 @@
       pairs[i].stops_next = i + 1 < PAIRS;
       assert_int_equal (write (pairs[i].ends[1], "x", 1), 1);
     }
-  turn ();
+  iterate_main_loop ();
   for (guint i = 0; i < PAIRS; i++)
     {
       calls += pairs[i].calls > 0;
@@ -142,9 +142,9 @@
     pair_close (&pairs[i]);
 }
 
-/* How many descriptors the main loop polls in an iteration. */
+/* Returns the number of descriptors that one iteration polls. */
 static gint
-polled (void)
+count_polled (void)
 {
   GMainContext *c = g_main_context_default ();
   GPollFD fds[PAIRS + 8];
@@ -157,8 +157,8 @@
   return n;
 }
 
-/* Load: an instance keeps hundreds of idle connections.  Guards against an
- * iteration that grows with them. */
+/* Load: an instance keeps hundreds of idle connections.  Guards against a cost
+ * of each iteration that grows with their number. */
 static void
 idle_descriptors_cost_no_iteration_anything (void **state)
 {
@@ -166,10 +166,10 @@
 
   (void) state;
   pair_open (&pairs[0], G_IO_IN);
-  before = polled ();
+  before = count_polled ();
   for (guint i = 1; i < PAIRS; i++)
     pair_open (&pairs[i], G_IO_IN);
-  assert_int_equal (polled (), before);
+  assert_int_equal (count_polled (), before);
   for (guint i = 0; i < PAIRS; i++)
     pair_close (&pairs[i]);
 }
@@ -178,8 +178,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (conditions_are_told),
-    cmocka_unit_test (wants_change),
+    cmocka_unit_test (conditions_are_reported),
+    cmocka_unit_test (conditions_change),
     cmocka_unit_test (a_stopped_watch_is_not_called),
     cmocka_unit_test (idle_descriptors_cost_no_iteration_anything),
   };
