--- a/test/test_timers.c
+++ b/test/test_timers.c
@@ -1,4 +1,5 @@
-/* Many timers on one source, against the order of their times. */
+/* Guards against timers that expire out of order, or after they were stopped by
+ * the callback of another one. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -15,7 +16,7 @@
 static gint64 last;
 static guint fired;
 
-/* Each one that fires stops the next, which may have fired before. */
+/* Each timer that expires stops the next, which may have expired already. */
 static void
 on_due (gpointer data)
 {
--- a/timers.c
+++ b/timers.c
@@ -1,17 +1,17 @@
-/* GLib's main loop looks at every source in every turn, so with a timeout for
- * each waiting request a turn costs more the more requests wait, just when
- * there is no time.  Here all timers stand in one sequence by time behind a
- * single source: starting and stopping one is O(log n), a turn looks at one.
- */
+/* Timers in one sorted sequence behind a single source of the main loop.  GLib
+ * checks every source in every iteration, so with a timeout source for each
+ * waiting request an iteration would cost more the more requests wait, that is,
+ * under overload.  Here starting and stopping a timer is O(log n), and an
+ * iteration checks only the first one. */
 #include "timers.h"
 
 #include "clock.h"
 
-static GSequence *running; /* of CcTimer, by time */
+static GSequence *running; /* of CcTimer, by expiry */
 static GSource *source;
 
 static gint
-by_time (gconstpointer a, gconstpointer b, gpointer unused)
+compare_expiry (gconstpointer a, gconstpointer b, gpointer unused)
 {
   const CcTimer *x = a, *y = b;
 
@@ -28,15 +28,15 @@
 }
 
 static void
-arm (void)
+arm_source (void)
 {
   const CcTimer *first = first_timer ();
 
   g_source_set_ready_time (source, first != NULL ? first->at : -1);
 }
 
-/* Calls what is due by now.  The main loop does; a test that has paused the
- * clock calls it after each advance. */
+/* Calls the callbacks of all expired timers.  The main loop calls it; a test
+ * that has paused the clock calls it after each advance. */
 void
 cc_timers_run (void)
 {
@@ -56,7 +56,7 @@
 {
   (void) unused;
   cc_timers_run ();
-  arm ();
+  arm_source ();
   return G_SOURCE_CONTINUE;
 }
 
@@ -77,8 +77,8 @@
   g_source_attach (source, NULL);
 }
 
-/* Calls DUE with DATA once, SPAN us from now, in the main loop.  T must stay
- * where it is until then or until it is stopped. */
+/* Calls DUE with DATA once, SPAN us from now, in the main loop; a running T is
+ * restarted.  T must not move in memory until it expires or is stopped. */
 void
 cc_timer_start (CcTimer *t, gint64 span, void (*due) (gpointer data),
                 gpointer data)
@@ -89,12 +89,13 @@
   t->at = cc_clock_steady () + MAX (span, 0);
   t->due = due;
   t->data = data;
-  t->place = g_sequence_insert_sorted (running, t, by_time, NULL);
+  t->place = g_sequence_insert_sorted (running, t, compare_expiry, NULL);
   if (first_timer () == t)
-    arm ();
+    arm_source ();
 }
 
-/* Stops T if it runs.  The source may then wake once for nothing. */
+/* Stops T if it is running.  The source is not rearmed, so the main loop may
+ * wake up once without an expired timer. */
 void
 cc_timer_stop (CcTimer *t)
 {
--- a/timers.h
+++ b/timers.h
@@ -4,13 +4,13 @@
 
 #include <glib.h>
 
-/* One timer, embedded in what it belongs to; all zero is a stopped one. */
+/* One timer, embedded in the struct that owns it.  All zero means stopped. */
 typedef struct
 {
-  gint64 at;            /* us of cc_clock_steady */
-  GSequenceIter *place; /* among the running ones; NULL: stopped */
+  gint64 at;            /* expiry, us of cc_clock_steady */
+  GSequenceIter *place; /* in the sequence of running timers; NULL: stopped */
   void (*due) (gpointer data);
-  gpointer data; /* of due */
+  gpointer data; /* passed to due */
 } CcTimer;
 
 void cc_timer_start (CcTimer *t, gint64 span, void (*due) (gpointer data),
