--- a/test/test_version_clock.c
+++ b/test/test_version_clock.c
@@ -1,7 +1,5 @@
-/* When a row was written at the earliest, by the versions that answers named.
- *
- * What callers would see if it failed: requests sent to an upstream that has
- * ended, since a row that was old when it came was taken for new. */
+/* Guards against a row that is already old on receipt and is treated as new:
+ * requests would be sent to an upstream that has exited. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,7 +9,7 @@
 
 #include "version_clock.h"
 
-#define NOTES 4
+#define RECORDS_MAX 4
 
 typedef struct
 {
@@ -20,18 +18,18 @@
   {
     guint64 version;
     gint64 at_ms;
-  } notes[NOTES]; /* until a version of 0 */
+  } records[RECORDS_MAX]; /* up to the first version of 0 */
   guint64 version;
-  gint64 after_ms; /* -1: nothing is known */
+  gint64 after_ms; /* -1: unknown */
 } Case;
 
 static const Case cases[] = {
-  { "nothing noted", { { 0 } }, 5, -1 },
+  { "nothing recorded", { { 0 } }, 5, -1 },
   { "newer than all", { { 3, 100 }, { 7, 300 } }, 9, 300 },
   { "between two", { { 3, 100 }, { 7, 300 } }, 5, 100 },
-  { "the version that an answer named", { { 3, 100 }, { 7, 300 } }, 7, 100 },
+  { "the version that a response named", { { 3, 100 }, { 7, 300 } }, 7, 100 },
   { "older than all", { { 3, 100 }, { 7, 300 } }, 3, -1 },
-  { "an answer that was overtaken", { { 7, 300 }, { 3, 100 } }, 9, 300 },
+  { "a response that was overtaken", { { 7, 300 }, { 3, 100 } }, 9, 300 },
   { "no change for a while", { { 3, 100 }, { 3, 300 }, { 3, 500 } }, 4, 500 },
   { "marks close together", { { 3, 100 }, { 4, 120 }, { 5, 140 } }, 5, 100 },
   { "a peer that is behind", { { 7, 300 }, { 5, 400 } }, 9, 300 },
@@ -47,17 +45,17 @@
       CcVersionClock clock = { 0 };
       gint64 after;
 
-      for (guint n = 0; n < NOTES && c->notes[n].version != 0; n++)
-        cc_version_clock_record (&clock, c->notes[n].version,
-                                 c->notes[n].at_ms * CC_MS);
+      for (guint n = 0; n < RECORDS_MAX && c->records[n].version != 0; n++)
+        cc_version_clock_record (&clock, c->records[n].version,
+                                 c->records[n].at_ms * CC_MS);
       after = cc_version_clock_written_after (&clock, c->version);
       if (after != (c->after_ms < 0 ? CC_LONG_AGO : c->after_ms * CC_MS))
         fail_msg ("%s: %" G_GINT64_FORMAT " us", c->name, after);
     }
 }
 
-/* Answers come for hours: what is kept is bounded, and reaches back far enough
- * for news that were two seconds on their way. */
+/* Responses arrive for hours.  The number of marks is bounded, and they cover
+ * enough time for an update that is delayed by two seconds. */
 static void
 marks_reach_back_three_seconds (void **state)
 {
--- a/version_clock.c
+++ b/version_clock.c
@@ -1,18 +1,19 @@
-/* Failure: a process hears late that an upstream leaves, since the peer whose
- * copy it follows was lost, and counts the time for which that upstream still
- * serves from when the news came.  Symptom: it sends requests there after the
- * upstream has ended.
+/* Bounds the write time of rows by their versions.  Failure: a process is late
+ * to receive the update that an upstream is leaving, since the peer whose copy
+ * it follows was lost, and counts the time for which that upstream still serves
+ * from the receipt of the update.  It then sends requests there after the
+ * upstream has exited.
  *
- * News carry no time, but versions, and these come from one counter.  Each
- * answer of the table service names the newest version of that moment, so a row
- * with a higher one was written later.  That is a bound on the row's age
- * however late it arrives and from whom, and compares no clocks of two
- * machines. */
+ * Updates carry no time, but a version, and all versions come from one counter.
+ * Each response of the table service names the newest version at that moment,
+ * so a row with a higher version was written later.  This bounds the row's age
+ * however late it arrives and from whichever peer, without comparing the clocks
+ * of two machines. */
 #include "version_clock.h"
 
 #include <string.h>
 
-/* Notes that at AT, us, no version above VERSION had been written. */
+/* Records that at AT, us, no version above VERSION had been written. */
 void
 cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at)
 {
@@ -30,8 +31,8 @@
   c->marks[c->count++] = (CcVersionMark){ version, at };
 }
 
-/* A time, us, after which the row with VERSION was written; CC_LONG_AGO if
- * nothing is known. */
+/* Returns the latest known time, us, after which the row with VERSION was
+ * written; CC_LONG_AGO if none is known. */
 gint64
 cc_version_clock_written_after (const CcVersionClock *c, guint64 version)
 {
@@ -41,7 +42,7 @@
   return CC_LONG_AGO;
 }
 
-/* The newest mark; of version 0 if there is none. */
+/* Returns the newest mark; one of version 0 at CC_LONG_AGO if there is none. */
 CcVersionMark
 cc_version_clock_newest (const CcVersionClock *c)
 {
--- a/version_clock.h
+++ b/version_clock.h
@@ -1,15 +1,15 @@
-/* When a row was written at the earliest, by its version. */
+/* Lower bound on the time at which a row was written, from its version. */
 #ifndef CC_VERSION_CLOCK_H
 #define CC_VERSION_CLOCK_H
 
 #include "capercrank.h"
 
-/* Marks that are kept.  With CC_VERSION_SPACING between them they reach back
- * three seconds: what is older than that is too old for any decision here. */
+/* Number of marks that are kept.  At CC_VERSION_SPACING, us, they cover three
+ * seconds; no decision depends on the age of a row beyond that. */
 #define CC_VERSION_MARKS 32
 #define CC_VERSION_SPACING (100 * CC_MS)
 
-/* Nothing above VERSION was written before AT. */
+/* No version above VERSION was written before AT. */
 typedef struct
 {
   guint64 version;
@@ -18,11 +18,11 @@
 
 typedef struct
 {
-  CcVersionMark marks[CC_VERSION_MARKS]; /* the oldest first */
+  CcVersionMark marks[CC_VERSION_MARKS]; /* oldest first */
   guint count;
 } CcVersionClock;
 
-/* A time before all others. */
+/* Earlier than every other time; stands for "unknown". */
 #define CC_LONG_AGO G_MININT32
 
 void cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at);
