--- a/capercrank.c
+++ b/capercrank.c
@@ -1,7 +1,7 @@
-/* Names of the public header's values. */
+/* Names of the outcomes of the public header. */
 #include "capercrank.h"
 
-/* Returns the name of OUTCOME as it stands in the answer's header. */
+/* Returns the name of OUTCOME, as in the header CC_HDR_OUTCOME. */
 const char *
 cc_outcome_name (CcOutcome outcome)
 {
