--- a/gateway.c
+++ b/gateway.c
@@ -102,7 +102,7 @@
   gint64 written = cc_version_clock_written_after (cc_mirror_clock (g->mirror),
                                                    row->version);
 
-  return written == CC_LONG_AGO ? -1 : cc_clock_now () - written;
+  return written == CC_TIME_UNKNOWN ? -1 : cc_clock_now () - written;
 }
 
 /* ROUTES, read from ROW in READ_TIME us, are in force. */
--- a/targets.c
+++ b/targets.c
@@ -304,7 +304,7 @@
 gint64
 cc_target_state_age (const CcTarget *t, gint64 now)
 {
-  return t->since == CC_LONG_AGO ? -1 : now - t->since;
+  return t->since == CC_TIME_UNKNOWN ? -1 : now - t->since;
 }
 
 /* Whether T, one of ALL, is listed no more and another upstream is listed at
--- a/test/test_version_clock.c
+++ b/test/test_version_clock.c
@@ -49,7 +49,7 @@
         cc_version_clock_record (&clock, c->records[n].version,
                                  c->records[n].at_ms * CC_MS);
       after = cc_version_clock_written_after (&clock, c->version);
-      if (after != (c->after_ms < 0 ? CC_LONG_AGO : c->after_ms * CC_MS))
+      if (after != (c->after_ms < 0 ? CC_TIME_UNKNOWN : c->after_ms * CC_MS))
         fail_msg ("%s: %" G_GINT64_FORMAT " us", c->name, after);
     }
 }
--- a/version_clock.c
+++ b/version_clock.c
@@ -32,20 +32,21 @@
 }
 
 /* Returns the latest known time, us, after which the row with VERSION was
- * written; CC_LONG_AGO if none is known. */
+ * written; CC_TIME_UNKNOWN if none is known. */
 gint64
 cc_version_clock_written_after (const CcVersionClock *c, guint64 version)
 {
   for (guint i = c->count; i > 0; i--)
     if (c->marks[i - 1].version < version)
       return c->marks[i - 1].at;
-  return CC_LONG_AGO;
+  return CC_TIME_UNKNOWN;
 }
 
-/* Returns the newest mark; one of version 0 at CC_LONG_AGO if there is none. */
+/* Returns the newest mark; one of version 0 at CC_TIME_UNKNOWN if there is
+ * none. */
 CcVersionMark
 cc_version_clock_newest (const CcVersionClock *c)
 {
   return c->count > 0 ? c->marks[c->count - 1]
-                      : (CcVersionMark){ 0, CC_LONG_AGO };
+                      : (CcVersionMark){ 0, CC_TIME_UNKNOWN };
 }
--- a/version_clock.h
+++ b/version_clock.h
@@ -23,7 +23,7 @@
 } CcVersionClock;
 
 /* Earlier than every other time; stands for "unknown". */
-#define CC_LONG_AGO G_MININT32
+#define CC_TIME_UNKNOWN G_MININT32
 
 void cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at);
 gint64 cc_version_clock_written_after (const CcVersionClock *c,
