--- a/version_clock.h
+++ b/version_clock.h
@@ -22,7 +22,8 @@
   guint count;
 } CcVersionClock;
 
-/* Earlier than every other time; stands for "unknown". */
+/* Unknown time.  It is earlier than every other one, so that an unknown age
+ * exceeds every limit. */
 #define CC_TIME_UNKNOWN G_MININT32
 
 void cc_version_clock_record (CcVersionClock *c, guint64 version, gint64 at);
