--- a/entry.c
+++ b/entry.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "admin.h"
-#include "ask.h"
+#include "router.h"
 #include "body_limit.h"
 #include "clock.h"
 #include "follower.h"
@@ -46,7 +46,7 @@
 {
   Entry *entry;
   SoupServerMessage *message;
-  CcAsk *ask;
+  CcPendingRequest *ask;
   Stats *stats;
   CcHistogram *of_class;
   CcHistogram *of_tenant;
@@ -225,15 +225,15 @@
   g_autoptr (GBytes) key_bytes = g_bytes_new (key, strlen (key));
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
-  CcWish w = { .class = class,
-               .tenant = header_or (h, CC_HDR_TENANT, TENANT_DEFAULT),
-               .idempotency = header_or (h, CC_HDR_IDEMPOTENCY, ""),
-               .method = soup_server_message_get_method (m),
-               .path = path,
-               .headers = checked->headers,
-               .key = key_bytes,
-               .body = body,
-               .deadline = cc_clock_wall () + checked->left };
+  CcCallerRequest w = { .class = class,
+                        .tenant = header_or (h, CC_HDR_TENANT, TENANT_DEFAULT),
+                        .idempotency = header_or (h, CC_HDR_IDEMPOTENCY, ""),
+                        .method = soup_server_message_get_method (m),
+                        .path = path,
+                        .headers = checked->headers,
+                        .key = key_bytes,
+                        .body = body,
+                        .deadline = cc_clock_wall () + checked->left };
 
   c->entry = e;
   c->message = g_object_ref (m);
@@ -244,7 +244,7 @@
   c->started = cc_clock_now ();
   g_signal_connect (m, "finished", G_CALLBACK (on_finished), c);
   soup_server_message_pause (m);
-  c->ask = cc_router_ask (e->router, &w, on_outcome, c);
+  c->ask = cc_router_submit (e->router, &w, on_outcome, c);
   if (c->answered)
     c->ask = NULL;
   else
@@ -252,8 +252,8 @@
                      c);
 }
 
-/* Refuses M before it came to a router.  See ask.c for why a request with a key
- * is not told "not-run". */
+/* Refuses M before it came to a router.  See router.c for why a request with a
+ * key is not told "not-run". */
 static void
 refuse_early (SoupServerMessage *m, guint status, const char *reason,
               const char *text, guint32 wait_ms)
--- a/exchange.c
+++ b/exchange.c
@@ -167,7 +167,7 @@
 
 /* The time that the caller or the route allows is over. */
 void
-cc_exchange_on_give_up (gpointer data)
+cc_exchange_on_timeout (gpointer data)
 {
   CcExchange *e = data;
   CcForwarder *f = e->forwarder;
@@ -191,7 +191,7 @@
   e->call = NULL;
   e->not_before = now + pause;
   cc_backlog_push (&e->pool->backlog, &e->entry);
-  cc_timer_start (&e->timer, cc_exchange_left (e, now), cc_exchange_on_give_up,
+  cc_timer_start (&e->timer, cc_exchange_left (e, now), cc_exchange_on_timeout,
                   e);
 }
 
--- a/exchange_state.h
+++ b/exchange_state.h
@@ -16,10 +16,10 @@
 struct CcForwarder
 {
   CcForwarderSetup setup;
-  GHashTable *pools; /* name to CcForwardPool */
-  guint entries;     /* of the fleet */
-  guint pending;     /* requests without an answer */
-  CcTimer looks;     /* for room that comes with time */
+  GHashTable *pools;      /* name to CcForwardPool */
+  guint entries;          /* of the fleet */
+  guint pending;          /* requests without an answer */
+  CcTimer capacity_timer; /* for room that comes with time */
   const CcView *state;
 };
 
@@ -69,6 +69,6 @@
 void cc_exchange_end_not_run (CcExchange *e, const char *reason);
 void cc_exchange_cancel_call (CcExchange *e);
 void cc_exchange_on_result (const CcHttpResult *r, gpointer data);
-void cc_exchange_on_give_up (gpointer data);
+void cc_exchange_on_timeout (gpointer data);
 
 #endif
--- a/forward.c
+++ b/forward.c
@@ -142,7 +142,7 @@
     g_ptr_array_add (e->tried, t);
   e->work_share =
       cc_pick_sent (&t->load, &e->typical, cc_exchange_inside (e, t, now));
-  cc_timer_start (&e->timer, left + ANSWER_GRACE, cc_exchange_on_give_up, e);
+  cc_timer_start (&e->timer, left + ANSWER_GRACE, cc_exchange_on_timeout, e);
   return TRUE;
 }
 
@@ -256,8 +256,8 @@
 static void
 look_soon (CcForwarder *f)
 {
-  if (f->looks.place == NULL)
-    cc_timer_start (&f->looks, LOOK_PERIOD, on_look, f);
+  if (f->capacity_timer.place == NULL)
+    cc_timer_start (&f->capacity_timer, LOOK_PERIOD, on_look, f);
 }
 
 /* Sends what there is room for now. */
@@ -391,7 +391,7 @@
   cc_retry_budget_first (&e->pool->budget, &f->setup.retry_bound);
   cc_backlog_push (&e->pool->backlog, &e->entry);
   cc_timer_start (&e->timer, cc_exchange_left (e, e->began),
-                  cc_exchange_on_give_up, e);
+                  cc_exchange_on_timeout, e);
   switch (step (e, e->began))
     {
     case STEP_ENDED:
--- a/intake.c
+++ b/intake.c
@@ -72,7 +72,7 @@
       cc_outcomes_start (d->shared.outcomes, class->pool, slice, j->idempotency,
                          cc_clock_wall ());
     }
-  cc_server_take (s, j, class);
+  cc_server_submit (s, j, class);
 }
 
 /* Nothing of the request has run here.  Without a lease another dispatcher may
--- a/ask.c
+++ b/router.c
@@ -18,7 +18,7 @@
  * most, the usual time of a move several times over; then they are refused with
  * a time to come back.  A refused once-only ask is told unknown, which no
  * caller can act on, so it waits for MOVE_MAX. */
-#include "ask.h"
+#include "router.h"
 
 #include "clock.h"
 #include "lease.h"
@@ -59,7 +59,7 @@
   guint64 incarnation; /* of that dispatcher */
 } Copy;
 
-struct CcAsk
+struct CcPendingRequest
 {
   CcRouter *router;
   AskState state;
@@ -81,7 +81,7 @@
   GBytes *key;
   GBytes *body;
   gint64 deadline;
-  CcAskDone done;
+  CcRequestDone done;
   gpointer data;
 };
 
@@ -89,8 +89,8 @@
 {
   CcFollower *follower;
   CcMailbox *mailbox;
-  GHashTable *asks;   /* id to CcAsk, sent ones */
-  GHashTable *parked; /* set of CcAsk */
+  GHashTable *asks;   /* id to CcPendingRequest, sent ones */
+  GHashTable *parked; /* set of CcPendingRequest */
   guint retry;        /* timer while any is parked */
   CcCounter *late;    /* answers that nobody waited for any more */
   CcCounter *crossed; /* answers from a process that was not asked */
@@ -99,7 +99,7 @@
   CcCounter *links_lost;
 };
 
-static gboolean route (CcAsk *a);
+static gboolean route (CcPendingRequest *a);
 
 /* A router that finds owners through F and sends through BOX. */
 CcRouter *
@@ -121,7 +121,7 @@
 
 /* No answer to C is awaited any more. */
 static void
-close_copy (CcAsk *a, Copy *c)
+close_copy (CcPendingRequest *a, Copy *c)
 {
   if (c->id == 0)
     return;
@@ -131,7 +131,7 @@
 }
 
 static void
-open_copy (CcAsk *a, Copy *c, guint64 id, const char *address,
+open_copy (CcPendingRequest *a, Copy *c, guint64 id, const char *address,
            guint64 incarnation)
 {
   *c = (Copy){ .id = id,
@@ -141,7 +141,7 @@
 }
 
 static void
-detach (CcAsk *a)
+detach (CcPendingRequest *a)
 {
   close_copy (a, &a->copy);
   close_copy (a, &a->earlier);
@@ -150,7 +150,7 @@
 }
 
 static void
-ask_free (CcAsk *a)
+ask_free (CcPendingRequest *a)
 {
   g_free (a->class_name);
   g_free (a->pool);
@@ -165,7 +165,7 @@
 }
 
 static void
-finish (CcAsk *a, const CcMsgReply *reply)
+finish (CcPendingRequest *a, const CcMsgReply *reply)
 {
   CcMsgReply r = *reply;
 
@@ -177,7 +177,8 @@
 }
 
 static void
-finish_with (CcAsk *a, CcOutcome outcome, const char *reason, guint32 wait_ms)
+finish_with (CcPendingRequest *a, CcOutcome outcome, const char *reason,
+             guint32 wait_ms)
 {
   CcMsgReply r = { .outcome = outcome,
                    .reason = reason,
@@ -192,7 +193,7 @@
  * under way through another entry, however young the key is, so once-only work
  * is told unknown here. */
 static void
-refuse (CcAsk *a, const char *reason, guint32 wait_ms)
+refuse (CcPendingRequest *a, const char *reason, guint32 wait_ms)
 {
   finish_with (a, a->once_only ? CC_OUTCOME_UNKNOWN : CC_OUTCOME_NOT_RUN,
                reason, wait_ms);
@@ -201,7 +202,7 @@
 static void
 on_deadline (gpointer data)
 {
-  CcAsk *a = data;
+  CcPendingRequest *a = data;
 
   if (a->state == ASK_SENT || a->earlier.id != 0)
     finish_with (a, CC_OUTCOME_UNKNOWN, "deadline", 0);
@@ -221,7 +222,7 @@
 
 /* How long A may be parked, us. */
 static gint64
-park_max (const CcAsk *a)
+park_max (const CcPendingRequest *a)
 {
   if (a->once_only)
     return MOVE_MAX;
@@ -229,7 +230,7 @@
 }
 
 static void
-park (CcAsk *a)
+park (CcPendingRequest *a)
 {
   CcRouter *r = a->router;
 
@@ -244,7 +245,7 @@
 /* The member that dispatches to the owner of A's key, or NULL while ownership
  * moves. */
 static const CcMember *
-find_dispatcher (const CcAsk *a, guint64 *epoch)
+find_dispatcher (const CcPendingRequest *a, guint64 *epoch)
 {
   const CcSliceMap *m = cc_follower_map (a->router->follower, a->pool);
   const CcMapServer *owner;
@@ -264,7 +265,7 @@
 
 /* Sends the message ID for A. */
 static CcStatus
-send_to (CcAsk *a, guint64 id, const CcMember *to, guint64 epoch)
+send_to (CcPendingRequest *a, guint64 id, const CcMember *to, guint64 epoch)
 {
   CcMessage m = { .kind = CC_MSG_REQUEST };
   CcMsgRequest *r = &m.u.request;
@@ -288,7 +289,7 @@
 /* Whether TO went silent lately and may go on: then an ask that would be told
  * unknown waits for it.  So a new ask does if it is once-only. */
 static gboolean
-awaits_silent (const CcAsk *a, const CcMember *to, gint64 now)
+awaits_silent (const CcPendingRequest *a, const CcMember *to, gint64 now)
 {
   gint64 since = cc_mailbox_silent_since (a->router->mailbox, to->address);
 
@@ -299,7 +300,7 @@
 /* Whether A waits for the map that names the heir of TO, which is drained and
  * has ended. */
 static gboolean
-awaits_heir (const CcAsk *a, const CcMember *to, gint64 now)
+awaits_heir (const CcPendingRequest *a, const CcMember *to, gint64 now)
 {
   return to->draining && (a->park_until == 0 || now < a->park_until);
 }
@@ -307,7 +308,7 @@
 /* Whether the answer to A's earlier copy is awaited for a moment yet, since the
  * link to TO carries messages again. */
 static gboolean
-awaits_earlier (CcAsk *a, const CcMember *to, gint64 now)
+awaits_earlier (CcPendingRequest *a, const CcMember *to, gint64 now)
 {
   if (a->earlier.id == 0 || a->earlier.incarnation != to->incarnation ||
       !cc_mailbox_is_up (a->router->mailbox, to->address))
@@ -319,7 +320,7 @@
 
 /* Sends A, parks it, or refuses it.  Returns FALSE if A is gone. */
 static gboolean
-route (CcAsk *a)
+route (CcPendingRequest *a)
 {
   gint64 now = cc_clock_now ();
   guint64 epoch = 0, id = cc_mailbox_next_id (a->router->mailbox);
@@ -365,10 +366,11 @@
 
 /* Asks for W.  DONE is called once, maybe before this returns, in which case
  * NULL is returned. */
-CcAsk *
-cc_router_ask (CcRouter *r, const CcWish *w, CcAskDone done, gpointer data)
+CcPendingRequest *
+cc_router_submit (CcRouter *r, const CcCallerRequest *w, CcRequestDone done,
+                  gpointer data)
 {
-  CcAsk *a = g_new0 (CcAsk, 1);
+  CcPendingRequest *a = g_new0 (CcPendingRequest, 1);
   gint64 left = w->deadline - cc_clock_wall () + ANSWER_GRACE;
 
   a->router = r;
@@ -405,7 +407,7 @@
 
 /* The caller went away: A's callback will not be called. */
 void
-cc_router_cancel (CcRouter *r, CcAsk *a)
+cc_router_cancel (CcRouter *r, CcPendingRequest *a)
 {
   cancel_copy (r, &a->copy, a->deadline);
   cancel_copy (r, &a->earlier, a->deadline);
@@ -419,7 +421,7 @@
  * final: who holds the key now does not know what became of it, and the one
  * before has lost its lease. */
 static gboolean
-settles (CcAsk *a, Copy *c, const CcMsgReply *r)
+settles (CcPendingRequest *a, Copy *c, const CcMsgReply *r)
 {
   if (r->outcome == CC_OUTCOME_RUN ||
       (r->outcome == CC_OUTCOME_UNKNOWN && c == &a->copy))
@@ -435,7 +437,7 @@
 void
 cc_router_reply (CcRouter *r, const CcMessage *m)
 {
-  CcAsk *a = g_hash_table_lookup (r->asks, &m->id);
+  CcPendingRequest *a = g_hash_table_lookup (r->asks, &m->id);
   Copy *c;
 
   if (a == NULL)
@@ -484,7 +486,7 @@
 /* Whether the dispatcher that C was sent to was being drained, as far as is
  * known: it takes its row away before it ends. */
 static gboolean
-was_draining (const CcAsk *a, const Copy *c)
+was_draining (const CcPendingRequest *a, const Copy *c)
 {
   GHashTableIter iter;
   gpointer value;
@@ -504,7 +506,7 @@
 /* The link over which A's last copy was sent is lost, by silence since
  * SILENT_SINCE, us, or closed: 0. */
 static void
-lose_copy (CcAsk *a, gint64 silent_since)
+lose_copy (CcPendingRequest *a, gint64 silent_since)
 {
   Copy lost = a->copy;
 
@@ -527,7 +529,7 @@
 
 /* The link of A's earlier copy was closed. */
 static void
-lose_earlier (CcAsk *a)
+lose_earlier (CcPendingRequest *a)
 {
   close_copy (a, &a->earlier);
   if (a->state == ASK_SENT && a->copy.id == 0)
@@ -549,7 +551,7 @@
   asks = waiting_asks (r);
   for (GList *l = asks; l != NULL; l = l->next)
     {
-      CcAsk *a = l->data;
+      CcPendingRequest *a = l->data;
 
       if (a->copy.id != 0 && g_str_equal (a->copy.address, address))
         lose_copy (a, silent_since);
--- a/ask.h
+++ b/router.h
@@ -1,16 +1,16 @@
 /* A caller's request inside an entry, from its headers to its answer. */
-#ifndef CC_ASK_H
-#define CC_ASK_H
+#ifndef CC_ROUTER_H
+#define CC_ROUTER_H
 
 #include "follower.h"
 #include "metrics.h"
 #include "mailbox.h"
 
-typedef struct CcAsk CcAsk;
+typedef struct CcPendingRequest CcPendingRequest;
 typedef struct CcRouter CcRouter;
 
 /* Called once with the outcome; R and its parts are valid during the call. */
-typedef void (*CcAskDone) (const CcMsgReply *r, gpointer data);
+typedef void (*CcRequestDone) (const CcMsgReply *r, gpointer data);
 
 /* What a caller wants; everything is copied. */
 typedef struct
@@ -24,12 +24,12 @@
   GBytes *key;
   GBytes *body;
   gint64 deadline; /* wall clock, us */
-} CcWish;
+} CcCallerRequest;
 
 CcRouter *cc_router_new (CcFollower *f, CcMailbox *box);
-CcAsk *cc_router_ask (CcRouter *r, const CcWish *w, CcAskDone done,
-                      gpointer data);
-void cc_router_cancel (CcRouter *r, CcAsk *a);
+CcPendingRequest *cc_router_submit (CcRouter *r, const CcCallerRequest *w,
+                                    CcRequestDone done, gpointer data);
+void cc_router_cancel (CcRouter *r, CcPendingRequest *a);
 void cc_router_reply (CcRouter *r, const CcMessage *m);
 void cc_router_link (CcRouter *r, const char *address, gboolean up);
 void cc_router_view_changed (CcRouter *r);
--- a/server.c
+++ b/server.c
@@ -166,7 +166,7 @@
 /* Takes J of CLASS, whose holding must be this server's, into the queue, or
  * refuses it at once. */
 void
-cc_server_take (CcServer *s, CcJob *j, const CcClass *class)
+cc_server_submit (CcServer *s, CcJob *j, const CcClass *class)
 {
   gint64 left = j->deadline - cc_clock_wall ();
   CcOffer offer = { FALSE, "full", 0 };
@@ -196,18 +196,18 @@
                        cc_mailbox_next_id (s->shared->mailbox));
   const CcHeldSlice *slice =
       g_hash_table_lookup (s->holding->slices, GUINT_TO_POINTER (j->slice));
-  CcOrder o = { .address = s->holding->address,
-                .method = j->method,
-                .path = j->path,
-                .headers = j->headers,
-                .body = j->body,
-                .deadline = j->deadline,
-                .term = s->holding->term,
-                .slice = j->slice,
-                .epoch = slice->epoch,
-                .run_id = run_id,
-                .once_only = j->once_only,
-                .fresh = j->waiting.tries > 1 };
+  CcUpstreamRequest o = { .address = s->holding->address,
+                          .method = j->method,
+                          .path = j->path,
+                          .headers = j->headers,
+                          .body = j->body,
+                          .deadline = j->deadline,
+                          .term = s->holding->term,
+                          .slice = j->slice,
+                          .epoch = slice->epoch,
+                          .run_id = run_id,
+                          .once_only = j->once_only,
+                          .fresh = j->waiting.tries > 1 };
 
   j->sent = cc_clock_now ();
   j->attempt = cc_upstream_send (s->shared->upstream, &o, on_attempt_done, j);
--- a/server.h
+++ b/server.h
@@ -53,7 +53,7 @@
 gboolean cc_server_may_serve (const CcServer *s, gint64 now);
 CcServer *cc_server_new (CcServerShared *shared, CcHolding *h);
 void cc_server_free (CcServer *s);
-void cc_server_take (CcServer *s, CcJob *j, const CcClass *class);
+void cc_server_submit (CcServer *s, CcJob *j, const CcClass *class);
 void cc_server_pump (CcServer *s);
 void cc_server_renew_grant (CcServer *s, gint64 now);
 void cc_server_check_connections (CcServer *s, gint64 now);
--- a/test/test_ask.c
+++ b/test/test_router.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 #include <gio/gio.h>
 
-#include "ask.h"
+#include "router.h"
 #include "headers.h"
 #include "clock.h"
 #include "timers.h"
@@ -254,18 +254,18 @@
   g_autoptr (GVariant) headers = cc_headers_take (g_string_new (NULL));
   g_autoptr (GBytes) key = g_bytes_new_static ("k", 1);
   g_autoptr (GBytes) body = g_bytes_new_static ("", 0);
-  CcWish w = { .class = &class,
-               .tenant = "t",
-               .idempotency = asked_key != NULL ? asked_key : "",
-               .method = "GET",
-               .path = "/",
-               .headers = headers,
-               .key = key,
-               .body = body,
-               .deadline = cc_clock_wall () + ms * CC_MS };
+  CcCallerRequest w = { .class = &class,
+                        .tenant = "t",
+                        .idempotency = asked_key != NULL ? asked_key : "",
+                        .method = "GET",
+                        .path = "/",
+                        .headers = headers,
+                        .key = key,
+                        .body = body,
+                        .deadline = cc_clock_wall () + ms * CC_MS };
 
   *a = (Answer){ 0 };
-  cc_router_ask (entry.router, &w, on_answer, a);
+  cc_router_submit (entry.router, &w, on_answer, a);
 }
 
 static void
--- a/test/test_server.c
+++ b/test/test_server.c
@@ -211,7 +211,7 @@
 
   rig.playing = c;
   rig.attempts = rig.told = 0;
-  cc_server_take (s, job_new (c->once_only), &class);
+  cc_server_submit (s, job_new (c->once_only), &class);
   while (rig.told == 0 && cc_clock_now () < end)
     {
       cc_server_pump (s);
@@ -251,7 +251,7 @@
   rig.playing = &answers;
   rig.told = 0;
   cc_holding_answered (s->holding, now);
-  cc_server_take (s, job_new (TRUE), &class);
+  cc_server_submit (s, job_new (TRUE), &class);
   cc_server_tick (s, now);
   cc_server_tick (s, now + CC_SERVER_LOST_AFTER + 100 * CC_MS);
   assert_false (s->holding->lost);
--- a/test/test_upstream.c
+++ b/test/test_upstream.c
@@ -213,14 +213,14 @@
 {
   g_autoptr (GVariant) headers = cc_headers_take (g_string_new (NULL));
   g_autoptr (GBytes) body = g_bytes_new_static ("12345", 5);
-  CcOrder o = { .address = raw.address,
-                .method = method,
-                .path = path,
-                .headers = headers,
-                .body = g_str_equal (method, "GET") ? NULL : body,
-                .deadline = cc_clock_wall () + CC_SECOND,
-                .run_id = "run-1",
-                .once_only = once_only };
+  CcUpstreamRequest o = { .address = raw.address,
+                          .method = method,
+                          .path = path,
+                          .headers = headers,
+                          .body = g_str_equal (method, "GET") ? NULL : body,
+                          .deadline = cc_clock_wall () + CC_SECOND,
+                          .run_id = "run-1",
+                          .once_only = once_only };
 
   *got = (Got){ 0 };
   return cc_upstream_send (u, &o, on_done, got);
--- a/upstream.c
+++ b/upstream.c
@@ -115,7 +115,7 @@
 }
 
 static void
-fill_headers (SoupMessageHeaders *h, const CcOrder *o)
+fill_headers (SoupMessageHeaders *h, const CcUpstreamRequest *o)
 {
   CcHeadersIter iter;
   const char *name, *value;
@@ -205,7 +205,7 @@
 /* Sends O once.  DONE is called once, also after cc_attempt_cancel.  Returns
  * NULL, without calling DONE, if the order can't be expressed in HTTP. */
 CcAttempt *
-cc_upstream_send (CcUpstream *u, const CcOrder *o, CcAttemptDone done,
+cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *o, CcAttemptDone done,
                   gpointer data)
 {
   g_autofree char *url = g_strconcat ("http://", o->address, o->path, NULL);
--- a/upstream.h
+++ b/upstream.h
@@ -25,7 +25,7 @@
   const char *run_id;
   gboolean once_only;
   gboolean fresh; /* on a new connection: a kept one may have gone silent */
-} CcOrder;
+} CcUpstreamRequest;
 
 typedef enum
 {
@@ -50,7 +50,7 @@
                              gpointer data);
 
 CcUpstream *cc_upstream_new (const char *source);
-CcAttempt *cc_upstream_send (CcUpstream *u, const CcOrder *o,
+CcAttempt *cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *o,
                              CcAttemptDone done, gpointer data);
 void cc_upstream_drop_pool (CcUpstream *u, const char *address);
 void cc_attempt_cancel (CcAttempt *a);
