--- a/entry.c
+++ b/entry.c
@@ -1,5 +1,10 @@
-/* capercrank-entry: takes callers' HTTP requests, checks them, passes them to
- * the dispatcher of their key and hands the answers back. */
+/* capercrank-entry: accepts callers' HTTP requests, validates them, forwards
+ * each to the dispatcher that owns its key, and returns the response.
+
+ * A request whose caller closes the connection is cancelled at its dispatcher,
+ * so that servers do not work until the deadline for nobody.  The size
+ * of a body is limited while it is read, so that an endless one cannot exhaust
+ * memory. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,9 +23,9 @@
 #include "request_check.h"
 #include "settings.h"
 
-#define DRAIN_QUIET (3 * CC_SECOND) /* until the balancer sends no more */
-#define DRAIN_LIMIT (30 * CC_SECOND)
-#define STARTING_WAIT_MS 1000 /* a dispatcher has answered by then */
+#define DRAIN_MIN (3 * CC_SECOND) /* the load balancer may still send */
+#define DRAIN_MAX (30 * CC_SECOND)
+#define STARTING_RETRY_AFTER_MS 1000 /* a dispatcher has responded by then */
 #define TENANT_DEFAULT "anonymous"
 
 typedef struct
@@ -28,33 +33,33 @@
   CcFollower *follower;
   CcMailbox *mailbox;
   CcRouter *router;
-  SoupServer *callers;
+  SoupServer *caller_server;
   GHashTable *stats; /* class name to Stats */
   CcHistograms latency;
-  gint64 stop_at; /* 0: not stopping */
+  gint64 stop_at; /* latest exit when draining, us; 0: not draining */
 } Entry;
 
-/* Counters of one class, looked up once. */
+/* Metric counters of one class, indexed by outcome. */
 typedef struct
 {
   CcCounter *outcomes[3];
   CcCounter *in_target;
 } Stats;
 
-/* One caller's request and its open connection. */
+/* A caller's request and its open connection. */
 typedef struct
 {
   Entry *entry;
   SoupServerMessage *message;
-  CcPendingRequest *ask;
+  CcPendingRequest *pending; /* NULL: not in progress at the router */
   Stats *stats;
-  CcHistogram *of_class;
-  CcHistogram *of_tenant;
-  gint64 within; /* the class's target, us */
+  CcHistogram *class_latency;
+  CcHistogram *tenant_latency;
+  gint64 latency_target; /* of the class, us */
   gint64 started;
-  CcHangup hangup; /* watch for the caller's closing while it waits */
+  CcHangup hangup; /* watches for the caller closing the connection */
   gboolean answered;
-} Caller;
+} CallerRequest;
 
 static void
 answer_outcome (SoupServerMessage *m, guint status, CcOutcome outcome,
@@ -103,14 +108,14 @@
 }
 
 static void
-count (Caller *c, CcOutcome outcome)
+record_outcome (CallerRequest *c, CcOutcome outcome)
 {
   gint64 took = cc_clock_now () - c->started;
 
   ++*c->stats->outcomes[outcome];
-  cc_histogram_add (c->of_class, took);
-  cc_histogram_add (c->of_tenant, took);
-  if (outcome == CC_OUTCOME_RUN && took <= c->within)
+  cc_histogram_add (c->class_latency, took);
+  cc_histogram_add (c->tenant_latency, took);
+  if (outcome == CC_OUTCOME_RUN && took <= c->latency_target)
     ++*c->stats->in_target;
 }
 
@@ -126,7 +131,7 @@
 
   soup_server_message_set_status (m, r->status, NULL);
   cc_headers_iter (&iter, r->headers);
-  /* libsoup writes a Date of its own beside any that is there; two would be
+  /* libsoup adds its own Date header; a second one would make the response
    * malformed. */
   while (cc_headers_next (&iter, &name, &value))
     if (g_ascii_strcasecmp (name, "Date") != 0)
@@ -142,12 +147,12 @@
 static void
 on_outcome (const CcMsgReply *r, gpointer data)
 {
-  Caller *c = data;
+  CallerRequest *c = data;
 
-  c->ask = NULL;
+  c->pending = NULL;
   c->answered = TRUE;
   cc_hangup_stop (&c->hangup);
-  count (c, r->outcome);
+  record_outcome (c, r->outcome);
   switch (r->outcome)
     {
     case CC_OUTCOME_RUN:
@@ -169,33 +174,33 @@
 static void
 on_finished (SoupServerMessage *m, gpointer data)
 {
-  Caller *c = data;
+  CallerRequest *c = data;
 
   (void) m;
-  if (c->ask != NULL)
-    cc_router_cancel (c->entry->router, c->ask);
-  c->ask = NULL;
+  if (c->pending != NULL)
+    cc_router_cancel (c->entry->router, c->pending);
+  c->pending = NULL;
   cc_hangup_stop (&c->hangup);
   g_signal_handlers_disconnect_by_data (c->message, c);
   g_object_unref (c->message);
   g_free (c);
 }
 
-/* The caller closed its side: its request is cancelled, and what may still be
- * read of the answer says the truth. */
+/* The caller closed its side of the connection.  Cancels the request and sends
+ * outcome unknown, which a caller that only half-closed can still read. */
 static void
 on_hangup (gpointer data)
 {
-  Caller *c = data;
+  CallerRequest *c = data;
   CcMsgReply r = { .outcome = CC_OUTCOME_UNKNOWN, .reason = "cancelled" };
 
-  if (c->ask != NULL)
-    cc_router_cancel (c->entry->router, c->ask);
+  if (c->pending != NULL)
+    cc_router_cancel (c->entry->router, c->pending);
   on_outcome (&r, c);
 }
 
 static void
-refuse_findings (SoupServerMessage *m, const CcFindings *f)
+reject_findings (SoupServerMessage *m, const CcFindings *f)
 {
   g_autofree char *text = cc_findings_text (f);
   g_autofree char *flat = g_strdelimit (g_strdup (text), "\n\"\\", ' ');
@@ -207,7 +212,8 @@
 }
 
 static const char *
-header_or (SoupMessageHeaders *h, const char *name, const char *fallback)
+header_or_default (SoupMessageHeaders *h, const char *name,
+                   const char *fallback)
 {
   const char *value = soup_message_headers_get_one (h, name);
 
@@ -215,47 +221,51 @@
 }
 
 static void
-pass_on (Entry *e, SoupServerMessage *m, const CcCheckedRequest *checked)
+forward_request (Entry *e, SoupServerMessage *m,
+                 const CcCheckedRequest *checked)
 {
   SoupMessageHeaders *h = soup_server_message_get_request_headers (m);
   const CcClass *class = checked->class;
-  Caller *c = g_new0 (Caller, 1);
+  CallerRequest *c = g_new0 (CallerRequest, 1);
   const char *key = soup_message_headers_get_one (h, CC_HDR_KEY);
   g_autofree char *path = cc_http_target (m);
   g_autoptr (GBytes) key_bytes = g_bytes_new (key, strlen (key));
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
-  CcCallerRequest w = { .class = class,
-                        .tenant = header_or (h, CC_HDR_TENANT, TENANT_DEFAULT),
-                        .idempotency = header_or (h, CC_HDR_IDEMPOTENCY, ""),
-                        .method = soup_server_message_get_method (m),
-                        .path = path,
-                        .headers = checked->headers,
-                        .key = key_bytes,
-                        .body = body,
-                        .deadline = cc_clock_wall () + checked->left };
+  CcCallerRequest w = {
+    .class = class,
+    .tenant = header_or_default (h, CC_HDR_TENANT, TENANT_DEFAULT),
+    .idempotency = header_or_default (h, CC_HDR_IDEMPOTENCY, ""),
+    .method = soup_server_message_get_method (m),
+    .path = path,
+    .headers = checked->headers,
+    .key = key_bytes,
+    .body = body,
+    .deadline = cc_clock_wall () + checked->left
+  };
 
   c->entry = e;
   c->message = g_object_ref (m);
   c->stats = find_stats (e, class->name);
-  c->of_class = cc_histograms_class (&e->latency, class->name);
-  c->of_tenant = cc_histograms_tenant (&e->latency, w.tenant);
-  c->within = class->within;
+  c->class_latency = cc_histograms_class (&e->latency, class->name);
+  c->tenant_latency = cc_histograms_tenant (&e->latency, w.tenant);
+  c->latency_target = class->within;
   c->started = cc_clock_now ();
   g_signal_connect (m, "finished", G_CALLBACK (on_finished), c);
   soup_server_message_pause (m);
-  c->ask = cc_router_submit (e->router, &w, on_outcome, c);
+  c->pending = cc_router_submit (e->router, &w, on_outcome, c);
   if (c->answered)
-    c->ask = NULL;
+    c->pending = NULL;
   else
     cc_hangup_watch (&c->hangup, soup_server_message_get_socket (m), on_hangup,
                      c);
 }
 
-/* Refuses M before it came to a router.  See router.c for why a request with a
- * key is not told "not-run". */
+/* Rejects M before it reaches the router.  A request with an idempotency key is
+ * answered unknown rather than not-run, for the reason given at reject() in
+ * router.c. */
 static void
-refuse_early (SoupServerMessage *m, guint status, const char *reason,
+reject_early (SoupServerMessage *m, guint status, const char *reason,
               const char *text, guint32 wait_ms)
 {
   const char *key = soup_message_headers_get_one (
@@ -267,7 +277,7 @@
 }
 
 static void
-check_and_pass (Entry *e, SoupServerMessage *m)
+check_and_forward (Entry *e, SoupServerMessage *m)
 {
   CcCheckedRequest checked = { 0 };
   CcFindings findings;
@@ -276,12 +286,12 @@
   cc_request_check (soup_server_message_get_request_headers (m),
                     e->follower->document, &findings, &checked);
   if (cc_findings_count (&findings) > 0)
-    refuse_findings (m, &findings);
+    reject_findings (m, &findings);
   else if (checked.left <= 0)
-    refuse_early (m, SOUP_STATUS_GATEWAY_TIMEOUT, "deadline",
-                  "the deadline is in the past", 0);
+    reject_early (m, SOUP_STATUS_GATEWAY_TIMEOUT, "deadline",
+                  "the deadline has passed", 0);
   else
-    pass_on (e, m, &checked);
+    forward_request (e, m, &checked);
   cc_checked_clear (&checked);
   cc_findings_clear (&findings);
 }
@@ -296,13 +306,13 @@
   if (cc_body_is_refused (m))
     return;
   if (e->follower->document == NULL)
-    refuse_early (m, SOUP_STATUS_SERVICE_UNAVAILABLE, "starting",
-                  "no configuration yet", STARTING_WAIT_MS);
+    reject_early (m, SOUP_STATUS_SERVICE_UNAVAILABLE, "starting",
+                  "no configuration yet", STARTING_RETRY_AFTER_MS);
   else if (cc_hangup_has (soup_server_message_get_socket (m)))
-    refuse_early (m, SOUP_STATUS_BAD_REQUEST, "cancelled",
-                  "the caller has gone", 0);
+    reject_early (m, SOUP_STATUS_BAD_REQUEST, "cancelled",
+                  "the caller closed the connection", 0);
   else
-    check_and_pass (e, m);
+    check_and_forward (e, m);
 }
 
 static void
@@ -354,13 +364,13 @@
 }
 
 static gboolean
-on_draining (gpointer data)
+on_drain_timer (gpointer data)
 {
   Entry *e = data;
   gint64 now = cc_clock_now ();
-  gboolean quiet = now >= e->stop_at - DRAIN_LIMIT + DRAIN_QUIET;
+  gboolean min_elapsed = now >= e->stop_at - DRAIN_MAX + DRAIN_MIN;
 
-  if (now < e->stop_at && (!quiet || cc_router_pending (e->router) > 0))
+  if (now < e->stop_at && (!min_elapsed || cc_router_pending (e->router) > 0))
     return G_SOURCE_CONTINUE;
   cc_log (CC_LOG_INFO, "stopped", "%u requests unanswered",
           cc_router_pending (e->router));
@@ -375,8 +385,8 @@
   if (e->stop_at != 0)
     return G_SOURCE_CONTINUE;
   cc_log (CC_LOG_INFO, "draining", "no longer ready");
-  e->stop_at = cc_clock_now () + DRAIN_LIMIT;
-  g_timeout_add (50, on_draining, e);
+  e->stop_at = cc_clock_now () + DRAIN_MAX;
+  g_timeout_add (50, on_drain_timer, e);
   return G_SOURCE_CONTINUE;
 }
 
@@ -385,15 +395,16 @@
 {
   g_autofree char *message = NULL;
 
-  e->callers = cc_http_server_new ();
-  g_object_set (e->callers, "server-header", "capercrank", NULL);
-  soup_server_add_early_handler (e->callers, NULL, on_headers, e, NULL);
-  soup_server_add_handler (e->callers, NULL, on_request, e, NULL);
+  e->caller_server = cc_http_server_new ();
+  g_object_set (e->caller_server, "server-header", "capercrank", NULL);
+  soup_server_add_early_handler (e->caller_server, NULL, on_headers, e, NULL);
+  soup_server_add_handler (e->caller_server, NULL, on_request, e, NULL);
   e->mailbox = cc_mailbox_new (cc_setting (settings, "listen"),
                                cc_setting_advertised (settings), incarnation,
                                on_message, on_link, e, &message);
   if (e->mailbox != NULL &&
-      cc_http_listen (e->callers, cc_setting (settings, "callers"), &message) &&
+      cc_http_listen (e->caller_server, cc_setting (settings, "callers"),
+                      &message) &&
       cc_admin_listen (cc_setting (settings, "admin"), why_not_ready, e,
                        &message) != NULL)
     return TRUE;
@@ -408,22 +419,27 @@
     { CC_SETTING_STRING, "instance", NULL, "name of this instance", 0, 0,
       NULL },
     { CC_SETTING_STRING, "zone", NULL, "its availability zone", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "callers", NULL, "where callers connect", 0, 0,
-      NULL },
-    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox for other processes", 0, 0,
-      NULL },
+    { CC_SETTING_ADDRESS, "callers", NULL,
+      "address that accepts callers' connections", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox address for other processes",
+      0, 0, NULL },
     { CC_SETTING_ADDRESSES, "advertise", "",
-      "address by which others reach the mailbox, if another", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "admin", NULL, "metrics and readiness", 0, 0, NULL },
+      "mailbox address as other processes reach it, if it differs", 0, 0,
+      NULL },
+    { CC_SETTING_ADDRESS, "admin", NULL, "address of metrics and readiness", 0,
+      0, NULL },
     { CC_SETTING_ADDRESSES, "dispatchers", NULL,
-      "mailboxes to learn from, this instance's first", 0, 0, NULL },
+      "dispatcher mailboxes to read the view from, own instance first", 0, 0,
+      NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   Entry e = { 0 };
   g_auto (GStrv) seeds = NULL;
 
-  switch (cc_settings_read (settings, "capercrank-entry",
-                            "Takes callers' requests.", argc, argv))
+  switch (cc_settings_read (
+      settings, "capercrank-entry",
+      "Accepts callers' requests and forwards them to dispatchers.", argc,
+      argv))
     {
     case CC_START_STOP:
       return 0;
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -1,5 +1,7 @@
-/* The real entry process, with this test as its dispatcher and its callers:
- * callers that go away, and bad input, which must harm nobody else. */
+/* Runs the real entry process; this test acts as its dispatcher and its
+ * callers. Guards against work done for callers that have disconnected,
+ * malformed input that affects other callers, and wrong outcomes when a
+ * dispatcher pauses. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -17,7 +19,7 @@
 
 #define POOL "catalogue"
 #define DISPATCHER 22
-#define HEIR 23
+#define SUCCESSOR 23
 #define HEAD                                                                   \
   "X-Class: browse\r\nX-Key: k\r\nHost: entry\r\nX-Request-Timeout: 1500\r\n"
 
@@ -30,21 +32,21 @@
   char *admin;
   char *mailbox;
   CcMailbox *box;
-  char *heir;          /* address of the dispatcher that takes over */
-  CcMailbox *heir_box; /* NULL: none has */
+  char *successor; /* address of the dispatcher that takes over the server */
+  CcMailbox *successor_box; /* NULL: no takeover yet */
   char *document;
   char *map;
   char *member;
-  gboolean answers; /* requests are answered at once */
+  gboolean answers; /* whether requests are answered immediately */
   guint requests;   /* received from the entry */
   guint cancels;
-} Rig;
+} Fixture;
 
-static Rig rig;
+static Fixture fixture;
 
-/* The map in which DISPATCHER's server owns all keys. */
+/* A slice map in which the server of DISPATCHER owns all keys. */
 static char *
-map_of (const char *dispatcher)
+map_row (const char *dispatcher)
 {
   CcSliceMap *m = cc_slicemap_new (POOL, 1);
   CcMapServer *s;
@@ -62,7 +64,7 @@
 }
 
 static char *
-member_of (const char *address, int incarnation)
+member_row (const char *address, int incarnation)
 {
   return g_strdup_printf (
       "{\"instance\":\"i1\",\"zone\":\"a\",\"address\":\"%s\","
@@ -73,9 +75,9 @@
 static void
 make_rows (void)
 {
-  rig.map = map_of ("d");
-  rig.member = member_of (rig.mailbox, DISPATCHER);
-  rig.document = g_strdup (
+  fixture.map = map_row ("d");
+  fixture.member = member_row (fixture.mailbox, DISPATCHER);
+  fixture.document = g_strdup (
       "{\"description\":\"\",\"pools\":[{\"name\":\"" POOL "\",\"prefer\":"
       "\"availability\",\"checks_grants\":true,\"slices\":1}],\"classes\":[{"
       "\"name\":\"browse\",\"pool\":\"" POOL "\",\"once_only\":false,"
@@ -87,29 +89,30 @@
 }
 
 static void
-send_rows (const CcMessage *asked)
+send_rows (const CcMessage *request)
 {
-  CcMessage m = { .kind = CC_MSG_ROWS, .to = asked->from };
+  CcMessage m = { .kind = CC_MSG_ROWS, .to = request->from };
   GVariantBuilder b;
 
   g_variant_builder_init (&b, G_VARIANT_TYPE ("a(sts)"));
-  g_variant_builder_add (&b, "(sts)", "config/head", (guint64) 1, rig.document);
-  g_variant_builder_add (&b, "(sts)", "map/" POOL, (guint64) 2, rig.map);
-  g_variant_builder_add (&b, "(sts)", "member/d", (guint64) 3, rig.member);
+  g_variant_builder_add (&b, "(sts)", "config/head", (guint64) 1,
+                         fixture.document);
+  g_variant_builder_add (&b, "(sts)", "map/" POOL, (guint64) 2, fixture.map);
+  g_variant_builder_add (&b, "(sts)", "member/d", (guint64) 3, fixture.member);
   m.u.rows.since = 0;
   m.u.rows.upto = 3;
   m.u.rows.rows = g_variant_ref_sink (g_variant_builder_end (&b));
-  cc_mailbox_send (rig.box, asked->reply_to, &m);
+  cc_mailbox_send (fixture.box, request->reply_to, &m);
   g_variant_unref (m.u.rows.rows);
 }
 
-/* The rows after the heir has taken over. */
+/* Sends the rows that apply after the takeover. */
 static void
-send_heirs_rows (const CcMessage *asked)
+send_successor_rows (const CcMessage *request)
 {
-  CcMessage m = { .kind = CC_MSG_ROWS, .to = asked->from };
-  g_autofree char *map = map_of ("e");
-  g_autofree char *member = member_of (rig.heir, HEIR);
+  CcMessage m = { .kind = CC_MSG_ROWS, .to = request->from };
+  g_autofree char *map = map_row ("e");
+  g_autofree char *member = member_row (fixture.successor, SUCCESSOR);
   GVariantBuilder b;
 
   g_variant_builder_init (&b, G_VARIANT_TYPE ("a(sts)"));
@@ -118,20 +121,22 @@
   m.u.rows.since = 3;
   m.u.rows.upto = 5;
   m.u.rows.rows = g_variant_ref_sink (g_variant_builder_end (&b));
-  cc_mailbox_send (rig.box, asked->reply_to, &m);
+  cc_mailbox_send (fixture.box, request->reply_to, &m);
   g_variant_unref (m.u.rows.rows);
 }
 
 static void
-answer (const CcMessage *asked)
+answer (const CcMessage *request)
 {
-  CcMessage m = { .kind = CC_MSG_REPLY, .to = asked->from, .id = asked->id };
+  CcMessage m = { .kind = CC_MSG_REPLY,
+                  .to = request->from,
+                  .id = request->id };
   g_autoptr (GBytes) body = g_bytes_new_static ("answer", 6);
 
   m.u.reply.outcome = CC_OUTCOME_RUN;
   m.u.reply.status = 200;
   m.u.reply.body = body;
-  cc_mailbox_send (rig.box, asked->reply_to, &m);
+  cc_mailbox_send (fixture.box, request->reply_to, &m);
 }
 
 static void
@@ -140,30 +145,33 @@
   (void) data;
   if (m->kind == CC_MSG_SYNC && m->u.sync.upto < 3)
     send_rows (m);
-  else if (m->kind == CC_MSG_SYNC && m->u.sync.upto < 5 && rig.heir_box != NULL)
-    send_heirs_rows (m);
+  else if (m->kind == CC_MSG_SYNC && m->u.sync.upto < 5 &&
+           fixture.successor_box != NULL)
+    send_successor_rows (m);
   else if (m->kind == CC_MSG_CANCEL)
-    rig.cancels++;
+    fixture.cancels++;
   else if (m->kind == CC_MSG_REQUEST)
     {
-      rig.requests++;
-      if (rig.answers)
+      fixture.requests++;
+      if (fixture.answers)
         answer (m);
     }
 }
 
-/* The heir does not know what became of any request. */
+/* The successor has no record of any request and answers unknown. */
 static void
-on_heirs_message (const CcMessage *asked, gpointer data)
+on_successor_message (const CcMessage *request, gpointer data)
 {
-  CcMessage m = { .kind = CC_MSG_REPLY, .to = asked->from, .id = asked->id };
+  CcMessage m = { .kind = CC_MSG_REPLY,
+                  .to = request->from,
+                  .id = request->id };
 
   (void) data;
-  if (asked->kind != CC_MSG_REQUEST)
+  if (request->kind != CC_MSG_REQUEST)
     return;
   m.u.reply.outcome = CC_OUTCOME_UNKNOWN;
   m.u.reply.reason = "forgotten";
-  cc_mailbox_send (rig.heir_box, asked->reply_to, &m);
+  cc_mailbox_send (fixture.successor_box, request->reply_to, &m);
 }
 
 static void
@@ -183,7 +191,7 @@
 }
 
 static void
-turn (void)
+run_main_loop (void)
 {
   while (g_main_context_iteration (NULL, FALSE))
     ;
@@ -193,11 +201,12 @@
 static void
 spawn_entry (void)
 {
-  g_autofree char *callers = g_strconcat ("--callers=", rig.callers, NULL);
-  g_autofree char *listen = g_strconcat ("--listen=", rig.listen, NULL);
-  g_autofree char *admin = g_strconcat ("--admin=", rig.admin, NULL);
-  g_autofree char *seeds = g_strconcat ("--dispatchers=", rig.mailbox, NULL);
-  char *argv[] = { rig.program,
+  g_autofree char *callers = g_strconcat ("--callers=", fixture.callers, NULL);
+  g_autofree char *listen = g_strconcat ("--listen=", fixture.listen, NULL);
+  g_autofree char *admin = g_strconcat ("--admin=", fixture.admin, NULL);
+  g_autofree char *seeds =
+      g_strconcat ("--dispatchers=", fixture.mailbox, NULL);
+  char *argv[] = { fixture.program,
                    (char *) "--instance=i1",
                    (char *) "--zone=a",
                    callers,
@@ -208,15 +217,15 @@
 
   assert_true (g_spawn_async (
       NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD | G_SPAWN_STDERR_TO_DEV_NULL,
-      NULL, NULL, &rig.pid, NULL));
+      NULL, NULL, &fixture.pid, NULL));
 }
 
 static GSocketConnection *
-call (const char *data, gsize length)
+connect_and_send (const char *data, gsize length)
 {
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   GSocketConnection *c =
-      g_socket_client_connect_to_host (client, rig.callers, 80, NULL, NULL);
+      g_socket_client_connect_to_host (client, fixture.callers, 80, NULL, NULL);
 
   if (c == NULL)
     return NULL;
@@ -225,10 +234,10 @@
   return c;
 }
 
-/* Reads for at most MS, or until TEXT has come or the connection is closed.
- * Returns whether TEXT came. */
+/* Reads from C until TEXT arrives, the connection closes or MS have passed.
+ * Returns whether TEXT arrived. */
 static gboolean
-hears (GSocketConnection *c, const char *text, guint ms)
+receives (GSocketConnection *c, const char *text, guint ms)
 {
   GSocket *s = g_socket_connection_get_socket (c);
   g_autoptr (GString) got = g_string_new (NULL);
@@ -245,33 +254,34 @@
         g_string_append_len (got, buffer, n);
       if (strstr (got->str, text) != NULL)
         return TRUE;
-      turn ();
+      run_main_loop ();
     }
   if (got->len > 0)
-    print_message ("# heard: %.60s\n", got->str);
+    print_message ("# received: %.60s\n", got->str);
   return strstr (got->str, text) != NULL;
 }
 
 static gboolean
-others_are_served (void)
+other_callers_are_served (void)
 {
   static const char request[] = "GET /a HTTP/1.1\r\n" HEAD "\r\n";
   g_autoptr (GSocketConnection) c = NULL;
 
-  rig.answers = TRUE;
-  c = call (request, strlen (request));
-  return c != NULL && hears (c, "answer", 2000);
+  fixture.answers = TRUE;
+  c = connect_and_send (request, strlen (request));
+  return c != NULL && receives (c, "answer", 2000);
 }
 
-/* Waits until the entry's link to its dispatcher carries requests. */
+/* Waits until the entry forwards requests to its dispatcher.  Returns whether
+ * it does. */
 static gboolean
-becomes_served (void)
+await_service (void)
 {
   for (guint i = 0; i < 50; i++)
     {
       for (guint k = 0; k < 100; k++)
-        turn ();
-      if (others_are_served ())
+        run_main_loop ();
+      if (other_callers_are_served ())
         return TRUE;
     }
   return FALSE;
@@ -283,57 +293,57 @@
   char *message = NULL;
 
   (void) state;
-  rig.callers = free_address ();
-  rig.listen = free_address ();
-  rig.admin = free_address ();
-  rig.mailbox = free_address ();
+  fixture.callers = free_address ();
+  fixture.listen = free_address ();
+  fixture.admin = free_address ();
+  fixture.mailbox = free_address ();
   make_rows ();
-  rig.box = cc_mailbox_new (rig.mailbox, rig.mailbox, DISPATCHER, on_message,
-                            on_link, NULL, &message);
+  fixture.box = cc_mailbox_new (fixture.mailbox, fixture.mailbox, DISPATCHER,
+                                on_message, on_link, NULL, &message);
   spawn_entry ();
-  return becomes_served () ? 0 : -1;
+  return await_service () ? 0 : -1;
 }
 
 static int
 stop (void **state)
 {
   (void) state;
-  kill (rig.pid, SIGKILL);
+  kill (fixture.pid, SIGKILL);
   return 0;
 }
 
-/* A caller closes while its request waits: the dispatcher has to be told, or
- * servers work for nobody until the deadline. */
+/* Guards against work for a caller that closed its connection: without a cancel
+ * message the dispatcher works on the request until its deadline. */
 static void
-gone_caller_is_cancelled (void **state)
+disconnected_caller_is_cancelled (void **state)
 {
   static const char request[] = "GET /a HTTP/1.1\r\n" HEAD "\r\n";
   GSocketConnection *c;
-  guint before = rig.requests;
+  guint before = fixture.requests;
   gint64 closed;
 
   (void) state;
-  rig.answers = FALSE;
-  rig.cancels = 0;
-  c = call (request, strlen (request));
-  for (guint i = 0; i < 500 && rig.requests == before; i++)
-    turn ();
-  assert_int_equal (rig.requests, before + 1);
+  fixture.answers = FALSE;
+  fixture.cancels = 0;
+  c = connect_and_send (request, strlen (request));
+  for (guint i = 0; i < 500 && fixture.requests == before; i++)
+    run_main_loop ();
+  assert_int_equal (fixture.requests, before + 1);
   g_io_stream_close (G_IO_STREAM (c), NULL, NULL);
   g_object_unref (c);
   closed = cc_clock_now ();
-  for (guint i = 0; i < 500 && rig.cancels == 0; i++)
-    turn ();
+  for (guint i = 0; i < 500 && fixture.cancels == 0; i++)
+    run_main_loop ();
   print_message ("# cancelled after %d ms\n",
                  (int) ((cc_clock_now () - closed) / CC_MS));
-  assert_int_equal (rig.cancels, 1);
-  assert_true (others_are_served ());
+  assert_int_equal (fixture.cancels, 1);
+  assert_true (other_callers_are_served ());
 }
 
 static guint
 resident_kb (void)
 {
-  g_autofree char *path = g_strdup_printf ("/proc/%d/status", rig.pid);
+  g_autofree char *path = g_strdup_printf ("/proc/%d/status", fixture.pid);
   g_autofree char *text = NULL;
   const char *line;
 
@@ -348,13 +358,14 @@
   GSocketConnection *connection;
   guint sent;    /* MB */
   gint finished; /* atomic */
-} Flood;
+} ChunkFlood;
 
-/* In a thread, since it blocks: this process must go on answering pings. */
+/* Runs in a thread, since writes block and this process must keep answering
+ * pings. */
 static gpointer
 run_flood (gpointer data)
 {
-  Flood *f = data;
+  ChunkFlood *f = data;
   GOutputStream *out =
       g_io_stream_get_output_stream (G_IO_STREAM (f->connection));
   g_autofree char *chunk = g_malloc (1 << 20);
@@ -369,36 +380,37 @@
   return NULL;
 }
 
-/* A body in chunks that goes on and on: refused at the bound, not gathered. */
+/* Guards against an endless chunked body that is collected in memory instead of
+ * * being rejected at the limit. */
 static void
 endless_body_is_refused (void **state)
 {
   static const char request[] =
       "POST /a HTTP/1.1\r\n" HEAD "Transfer-Encoding: chunked\r\n\r\n";
-  Flood f = { .connection = call (request, strlen (request)) };
-  guint before = rig.requests, start_kb = resident_kb (), most_kb = 0;
+  ChunkFlood f = { .connection = connect_and_send (request, strlen (request)) };
+  guint before = fixture.requests, start_kb = resident_kb (), most_kb = 0;
   GThread *thread = g_thread_new ("flood", run_flood, &f);
 
   (void) state;
   while (g_atomic_int_get (&f.finished) == 0)
     {
-      turn ();
+      run_main_loop ();
       most_kb = MAX (most_kb, resident_kb ());
     }
   g_thread_join (thread);
   print_message ("# %u MB taken, resident %u to %u KB\n", f.sent, start_kb,
                  most_kb);
-  assert_true (f.sent < 24); /* the bound, and what the kernel buffers */
+  assert_true (f.sent < 24); /* the limit and the kernel's buffers */
   assert_true (most_kb < start_kb + 3 * CC_BODY_MAX / 1024);
-  assert_int_equal (rig.requests, before);
+  assert_int_equal (fixture.requests, before);
   g_object_unref (f.connection);
-  assert_true (others_are_served ());
+  assert_true (other_callers_are_served ());
 }
 
-/* Requests that must not reach a dispatcher, and after each of them another
- * caller is served. */
+/* Guards against malformed requests that reach a dispatcher or that keep other
+ * * callers from being served. */
 static void
-bad_input_harms_nobody (void **state)
+bad_input_does_not_affect_others (void **state)
 {
   g_autofree char *filler = g_strnfill (CC_HEADERS_MAX + 10, 'h');
   g_autofree char *many = g_strconcat (
@@ -410,7 +422,7 @@
   const struct
   {
     const char *request;
-    const char *answer; /* NULL: none is expected, only no harm */
+    const char *answer; /* NULL: any, or none */
   } cases[] = {
     { many, "not-run" },
     { key, "not-run" },
@@ -442,24 +454,25 @@
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      guint before = rig.requests;
-      GSocketConnection *c = call (cases[i].request, strlen (cases[i].request));
+      guint before = fixture.requests;
+      GSocketConnection *c =
+          connect_and_send (cases[i].request, strlen (cases[i].request));
 
-      if (cases[i].answer != NULL && !hears (c, cases[i].answer, 1000))
+      if (cases[i].answer != NULL && !receives (c, cases[i].answer, 1000))
         fail_msg ("case %u was not refused", i);
       for (guint k = 0; k < 30; k++)
-        turn ();
-      if (rig.requests != before)
+        run_main_loop ();
+      if (fixture.requests != before)
         fail_msg ("case %u reached the dispatcher", i);
-      assert_true (others_are_served ());
+      assert_true (other_callers_are_served ());
       g_object_unref (c);
     }
 }
 
-/* The caller dies in the middle of its body: half a booking must not be passed
- * on as a whole one. */
+/* Guards against a truncated body, left by a caller that terminates while
+ * sending, being forwarded as a complete request. */
 static void
-truncated_body_is_not_passed_on (void **state)
+truncated_body_is_not_forwarded (void **state)
 {
   static const char *const bodies[] = {
     "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
@@ -474,39 +487,39 @@
     {
       g_autofree char *request =
           g_strconcat ("POST /a HTTP/1.1\r\n" HEAD, bodies[i], NULL);
-      guint before = rig.requests;
-      GSocketConnection *c = call (request, strlen (request));
+      guint before = fixture.requests;
+      GSocketConnection *c = connect_and_send (request, strlen (request));
 
       for (guint k = 0; k < 30; k++)
-        turn ();
+        run_main_loop ();
       g_object_unref (c);
       for (guint k = 0; k < 100; k++)
-        turn ();
-      if (rig.requests != before)
+        run_main_loop ();
+      if (fixture.requests != before)
         fail_msg ("body %u reached the dispatcher", i);
-      assert_true (others_are_served ());
+      assert_true (other_callers_are_served ());
     }
 }
 
-#define SILENCE_MS 800 /* a link is given up for silence by then */
+#define SILENCE_MS 800 /* a silent link has been closed by then */
 
 typedef struct
 {
   const char *name;
   gboolean once_only;
-  guint before_ms; /* the dispatcher stands still so long before the request, */
-  guint after_ms;  /* and so long after it */
-} Pause;
-
-static const Pause pauses[] = {
-  { "once-only, passed on before", TRUE, 0, 900 },
-  { "once-only, during", TRUE, 700, 300 },
-  { "idempotent, passed on before", FALSE, 0, 900 },
+  guint before_ms; /* pause of the dispatcher before the request */
+  guint after_ms;  /* and after it */
+} PauseCase;
+
+static const PauseCase pauses[] = {
+  { "once-only, sent before the pause", TRUE, 0, 900 },
+  { "once-only, sent during the pause", TRUE, 700, 300 },
+  { "idempotent, sent before the pause", FALSE, 0, 900 },
 };
 
-/* A request of C's class; the caller frees it. */
+/* Returns the text of a request for case C; freed by the caller. */
 static char *
-request_of (const Pause *c)
+request_of (const PauseCase *c)
 {
   guint64 ms = (guint64) (cc_clock_wall () / CC_MS);
 
@@ -518,68 +531,70 @@
       (guint) (ms >> 16), (guint) (ms & 0xffff));
 }
 
-/* Guards against "unknown" for a request whose dispatcher stands still for a
- * moment, and answers it in time. */
+/* Guards against outcome unknown for a request whose dispatcher pauses briefly
+ * * and then answers it before the deadline. */
 static void
-a_dispatcher_that_goes_on_is_waited_for (void **state)
+paused_dispatcher_is_awaited (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (pauses); i++)
     {
-      const Pause *p = &pauses[i];
+      const PauseCase *p = &pauses[i];
       g_autofree char *request = request_of (p);
       g_autoptr (GSocketConnection) c = NULL;
 
-      assert_true (others_are_served ());
+      assert_true (other_callers_are_served ());
       g_usleep (p->before_ms * 1000);
-      c = call (request, strlen (request));
+      c = connect_and_send (request, strlen (request));
       g_usleep (p->after_ms * 1000);
-      if (!hears (c, "answer", 2000))
+      if (!receives (c, "answer", 2000))
         fail_msg ("%s: no answer", p->name);
     }
 }
 
-/* Guards against a caller that is held to its deadline by a dispatcher which
- * stands still, though the one that took over has said that nobody knows. */
+/* Guards against a request held until its deadline by a paused dispatcher,
+ * after the dispatcher that took over has answered that the outcome is unknown.
+ */
 static void
-the_heirs_word_is_passed_on (void **state)
+successor_unknown_is_returned (void **state)
 {
-  const Pause p = { .once_only = TRUE };
+  const PauseCase p = { .once_only = TRUE };
   g_autofree char *request = request_of (&p);
   g_autoptr (GSocketConnection) c = NULL;
   char *message = NULL;
   guint before;
 
   (void) state;
-  assert_true (becomes_served ());
-  rig.answers = FALSE;
-  before = rig.requests;
-  c = call (request, strlen (request));
-  for (guint i = 0; i < 500 && rig.requests == before; i++)
-    turn ();
+  assert_true (await_service ());
+  fixture.answers = FALSE;
+  before = fixture.requests;
+  c = connect_and_send (request, strlen (request));
+  for (guint i = 0; i < 500 && fixture.requests == before; i++)
+    run_main_loop ();
   g_usleep (SILENCE_MS * 1000);
-  rig.heir = free_address ();
-  rig.heir_box = cc_mailbox_new (rig.heir, rig.heir, HEIR, on_heirs_message,
-                                 on_link, NULL, &message);
-  assert_non_null (rig.heir_box);
-  assert_true (hears (c, "forgotten", 2000));
+  fixture.successor = free_address ();
+  fixture.successor_box =
+      cc_mailbox_new (fixture.successor, fixture.successor, SUCCESSOR,
+                      on_successor_message, on_link, NULL, &message);
+  assert_non_null (fixture.successor_box);
+  assert_true (receives (c, "forgotten", 2000));
 }
 
 int
 main (int argc, char **argv)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (gone_caller_is_cancelled),
+    cmocka_unit_test (disconnected_caller_is_cancelled),
     cmocka_unit_test (endless_body_is_refused),
-    cmocka_unit_test (truncated_body_is_not_passed_on),
-    cmocka_unit_test (bad_input_harms_nobody),
-    cmocka_unit_test (a_dispatcher_that_goes_on_is_waited_for),
-    cmocka_unit_test (the_heirs_word_is_passed_on),
+    cmocka_unit_test (truncated_body_is_not_forwarded),
+    cmocka_unit_test (bad_input_does_not_affect_others),
+    cmocka_unit_test (paused_dispatcher_is_awaited),
+    cmocka_unit_test (successor_unknown_is_returned),
   };
   g_autofree char *folder = g_path_get_dirname (argv[0]);
 
   (void) argc;
   signal (SIGPIPE, SIG_IGN);
-  rig.program = g_build_filename (folder, "..", "capercrank-entry", NULL);
+  fixture.program = g_build_filename (folder, "..", "capercrank-entry", NULL);
   return cmocka_run_group_tests (tests, start, stop);
 }
