--- a/entry.c
+++ b/entry.c
@@ -1,9 +1,9 @@
 /* capercrank-entry: accepts callers' HTTP requests, validates them, forwards
  * each to the dispatcher that owns its key, and returns the response.
-
+ *
  * A request whose caller closes the connection is cancelled at its dispatcher,
- * so that servers do not work until the deadline for nobody.  The size
- * of a body is limited while it is read, so that an endless one cannot exhaust
+ * so that servers do not work until the deadline for nobody.  The size of a
+ * body is limited while it is read, so that an endless one cannot exhaust
  * memory. */
 #include <stdio.h>
 #include <stdlib.h>
--- a/router.c
+++ b/router.c
@@ -1,23 +1,25 @@
-/* Finds the one dispatcher for a key, sends the request to it, and waits.
+/* Finds the one dispatcher for a key, sends the request to it and awaits its
+ * reply.
  *
- * An ask is sent again after the dispatcher said that it was not run because
- * ownership moved; that is proof.  If the link was lost after the message left,
- * it may have run, and "not-run" is never said of it any more.
+ * A request is sent again if the dispatcher replied that it did not run because
+ * ownership moved, which is proof.  If the link was lost after the message was
+ * sent, the request may have run and is never reported not-run afterwards.
  *
- * A link that closes belongs to a process that has ended: once-only work is
- * told unknown at once, idempotent work is sent again if the link is back or
- * ownership has moved within LINK_BACK_MAX.  One that was drained has handed
- * its servers and its memory of outcomes over before it ended, so asks wait for
- * the map that names its heirs.  A link that goes silent may belong to one that
- * stands still for a moment and then goes on, with the request and the memory
- * of outcomes that it had.  So for SILENT_MAX the answer is waited for, and the
- * request is sent again when the link carries messages: the memory joins the
- * two copies of once-only work.
+ * A closed link means that the dispatcher has exited.  Once-only requests then
+ * end with unknown immediately; idempotent ones are sent again if the link is
+ * restored or ownership has moved within RECONNECT_PARK_MAX.  A drained
+ * dispatcher handed over its servers and its attempt records before it exited,
+ * so its requests wait for the map that names the next owner.
  *
- * While a key's ownership moves, its asks are parked here for PARK_MAX at the
- * most, the usual time of a move several times over; then they are refused with
- * a time to come back.  A refused once-only ask is told unknown, which no
- * caller can act on, so it waits for MOVE_MAX. */
+ * A silent link may mean a dispatcher that is paused and resumes, with the
+ * request and its attempt records intact.  So the reply is awaited for
+ * SILENT_WAIT_MAX, and the request is sent again once the link carries
+ * messages; the attempt records join the two copies of a once-only request.
+ *
+ * While ownership of a key moves, its requests are parked here for at most
+ * PARK_MAX, several times the usual duration of a move, and then rejected with
+ * a retry time.  A rejected once-only request ends with unknown, on which no
+ * caller can act, so it is parked for ONCE_ONLY_PARK_MAX. */
 #include "router.h"
 
 #include "clock.h"
@@ -27,34 +29,36 @@
 #include "timers.h"
 
 #define PARK_MAX (250 * CC_MS) /* a move takes 10 to 50 ms */
-/* A lost or silent link to a process that lives is back within 200 ms (the
- * mailbox's RECONNECT_MAX_MS and a ping).  After that its servers are being
- * taken over, which takes seconds: the request is answered. */
-#define LINK_BACK_MAX (500 * CC_MS)
-/* A dispatcher that stands still for longer than its lease lasts has lost its
- * servers, and a move does not wait for it any more. */
-#define SILENT_MAX CC_LEASE_TERM
-/* A key has an owner again by then, also if a dispatcher or the platform is
+/* A lost or silent link to a live process is restored within 200 ms (the
+ * mailbox's RECONNECT_MAX_MS and a ping).  If it is not, a takeover of the
+ * servers follows, which takes seconds, so the request is answered instead. */
+#define RECONNECT_PARK_MAX (500 * CC_MS)
+/* A dispatcher paused for longer than its lease has lost its servers, and moves
+ * do not wait for it. */
+#define SILENT_WAIT_MAX CC_LEASE_TERM
+/* By then a key has an owner again, even if a dispatcher or the platform is
  * slow; see lease.h. */
-#define MOVE_MAX (4 * CC_SECOND)
-/* One that goes on answers what it had received before it needs a copy. */
-#define COPY_PAUSE (100 * CC_MS)
-#define PARK_RETRY_MS 10      /* parked asks look again this often */
-#define TAKEOVER_WAIT_MS 1000 /* a lost dispatcher is replaced in 2 to 3 s */
-#define MOVE_WAIT_MS 100      /* a move that took longer than PARK_MAX */
-#define ANSWER_GRACE                                                           \
-  (30 * CC_MS) /* for the dispatcher's word on the deadline */
+#define ONCE_ONLY_PARK_MAX (4 * CC_SECOND)
+/* A dispatcher that resumes answers what it had received within this time,
+ * without needing another copy. */
+#define RESEND_DELAY (100 * CC_MS)
+#define PARK_RECHECK_MS 10 /* recheck interval of parked requests */
+#define TAKEOVER_RETRY_AFTER_MS                                                \
+  1000                          /* a lost dispatcher is replaced in 2 to 3 s */
+#define MOVE_RETRY_AFTER_MS 100 /* a move that took longer than PARK_MAX */
+#define REPLY_GRACE                                                            \
+  (30 * CC_MS) /* for the dispatcher's reply at the deadline */
 
 typedef enum
 {
-  ASK_PARKED, /* ownership is moving; nothing was sent, or it was not run */
-  ASK_SENT    /* a dispatcher has it */
-} AskState;
+  REQUEST_PARKED, /* ownership is moving; nothing was sent, or it was not run */
+  REQUEST_SENT    /* a dispatcher has it */
+} RequestState;
 
-/* A message that asked for the work. */
+/* One copy of the request, sent to a dispatcher. */
 typedef struct
 {
-  guint64 id;          /* and the key in the table; 0: no answer is awaited */
+  guint64 id;          /* of the message; 0: no reply is awaited */
   char *address;       /* of the dispatcher it was sent to */
   guint64 incarnation; /* of that dispatcher */
 } Copy;
@@ -62,15 +66,15 @@
 struct CcPendingRequest
 {
   CcRouter *router;
-  AskState state;
+  RequestState state;
   Copy copy;         /* the last, in state SENT */
-  Copy earlier;      /* sent over a link that went silent since */
-  gint64 copy_at;    /* when another may be sent beside EARLIER, us; 0: no link
-                        was up since */
+  Copy earlier;      /* sent over a link that has gone silent since */
+  gint64 resend_at;  /* when another may be sent beside EARLIER, us; 0: no link
+                        has come up since */
   gint64 park_until; /* us; 0: not parked before */
   gboolean once_only;
-  guint unanswered; /* copies that may have run and whose answer is lost */
-  CcTimer timer;    /* fires at the deadline */
+  guint maybe_run; /* copies that may have run and whose reply is lost */
+  CcTimer timer;   /* fires at the deadline */
   char *class_name;
   char *pool;
   char *tenant;
@@ -89,19 +93,19 @@
 {
   CcFollower *follower;
   CcMailbox *mailbox;
-  GHashTable *asks;   /* id to CcPendingRequest, sent ones */
-  GHashTable *parked; /* set of CcPendingRequest */
-  guint retry;        /* timer while any is parked */
-  CcCounter *late;    /* answers that nobody waited for any more */
-  CcCounter *crossed; /* answers from a process that was not asked */
+  GHashTable *in_flight;   /* message id to CcPendingRequest */
+  GHashTable *parked;      /* set of CcPendingRequest */
+  guint recheck;           /* timer source while any is parked */
+  CcCounter *late;         /* replies after the request ended */
+  CcCounter *wrong_sender; /* replies from another incarnation */
   CcCounter *rerouted;
-  CcCounter *resent; /* idempotent ones after a lost link */
+  CcCounter *resent; /* after a lost link */
   CcCounter *links_lost;
 };
 
-static gboolean route (CcPendingRequest *a);
+static gboolean route (CcPendingRequest *p);
 
-/* A router that finds owners through F and sends through BOX. */
+/* Returns a router that finds owners through F and sends through BOX. */
 CcRouter *
 cc_router_new (CcFollower *f, CcMailbox *box)
 {
@@ -109,148 +113,149 @@
 
   r->follower = f;
   r->mailbox = box;
-  r->asks = g_hash_table_new (g_int64_hash, g_int64_equal);
+  r->in_flight = g_hash_table_new (g_int64_hash, g_int64_equal);
   r->parked = g_hash_table_new (NULL, NULL);
   r->late = cc_metrics_counter ("capercrank_answers_late", "");
-  r->crossed = cc_metrics_counter ("capercrank_answers_crossed", "");
+  r->wrong_sender = cc_metrics_counter ("capercrank_answers_crossed", "");
   r->rerouted = cc_metrics_counter ("capercrank_requests_rerouted", "");
   r->resent = cc_metrics_counter ("capercrank_requests_resent", "");
   r->links_lost = cc_metrics_counter ("capercrank_links_lost", "");
   return r;
 }
 
-/* No answer to C is awaited any more. */
+/* Stops awaiting a reply to C. */
 static void
-close_copy (CcPendingRequest *a, Copy *c)
+forget_copy (CcPendingRequest *p, Copy *c)
 {
   if (c->id == 0)
     return;
-  g_hash_table_remove (a->router->asks, &c->id);
+  g_hash_table_remove (p->router->in_flight, &c->id);
   g_clear_pointer (&c->address, g_free);
   c->id = 0;
 }
 
 static void
-open_copy (CcPendingRequest *a, Copy *c, guint64 id, const char *address,
-           guint64 incarnation)
+record_copy (CcPendingRequest *p, Copy *c, guint64 id, const char *address,
+             guint64 incarnation)
 {
   *c = (Copy){ .id = id,
                .address = g_strdup (address),
                .incarnation = incarnation };
-  g_hash_table_insert (a->router->asks, &c->id, a);
+  g_hash_table_insert (p->router->in_flight, &c->id, p);
 }
 
 static void
-detach (CcPendingRequest *a)
+untrack (CcPendingRequest *p)
 {
-  close_copy (a, &a->copy);
-  close_copy (a, &a->earlier);
-  g_hash_table_remove (a->router->parked, a);
-  cc_timer_stop (&a->timer);
+  forget_copy (p, &p->copy);
+  forget_copy (p, &p->earlier);
+  g_hash_table_remove (p->router->parked, p);
+  cc_timer_stop (&p->timer);
 }
 
 static void
-ask_free (CcPendingRequest *a)
-{
-  g_free (a->class_name);
-  g_free (a->pool);
-  g_free (a->tenant);
-  g_free (a->idempotency);
-  g_free (a->method);
-  g_free (a->path);
-  g_variant_unref (a->headers);
-  g_bytes_unref (a->key);
-  g_bytes_unref (a->body);
-  g_free (a);
+request_free (CcPendingRequest *p)
+{
+  g_free (p->class_name);
+  g_free (p->pool);
+  g_free (p->tenant);
+  g_free (p->idempotency);
+  g_free (p->method);
+  g_free (p->path);
+  g_variant_unref (p->headers);
+  g_bytes_unref (p->key);
+  g_bytes_unref (p->body);
+  g_free (p);
 }
 
 static void
-finish (CcPendingRequest *a, const CcMsgReply *reply)
+finish (CcPendingRequest *p, const CcMsgReply *reply)
 {
   CcMsgReply r = *reply;
 
-  if (a->unanswered > 0 && r.outcome == CC_OUTCOME_NOT_RUN)
+  if (p->maybe_run > 0 && r.outcome == CC_OUTCOME_NOT_RUN)
     r.outcome = CC_OUTCOME_UNKNOWN;
-  detach (a);
-  a->done (&r, a->data);
-  ask_free (a);
+  untrack (p);
+  p->done (&r, p->data);
+  request_free (p);
 }
 
 static void
-finish_with (CcPendingRequest *a, CcOutcome outcome, const char *reason,
-             guint32 wait_ms)
+finish_with (CcPendingRequest *p, CcOutcome outcome, const char *reason,
+             guint32 retry_after_ms)
 {
   CcMsgReply r = { .outcome = outcome,
                    .reason = reason,
-                   .retry_after = wait_ms };
+                   .retry_after = retry_after_ms };
 
-  finish (a, &r);
+  finish (p, &r);
 }
 
-/* Refuses what did not reach a memory of outcomes.  "not-run" is about the
- * caller's booking, not about one attempt: if another attempt with the same key
- * may run, the caller would book again under a new key.  Such an attempt may be
- * under way through another entry, however young the key is, so once-only work
- * is told unknown here. */
+/* Rejects a request that did not reach a dispatcher's attempt records.  Not-run
+ * applies to the caller's operation rather than to one attempt: if another
+ * attempt with the same idempotency key may run, the caller would repeat the
+ * operation under a new key.  Such an attempt may be in progress through
+ * another entry, however recent the key is, so a once-only request ends with
+ * unknown here. */
 static void
-refuse (CcPendingRequest *a, const char *reason, guint32 wait_ms)
+reject (CcPendingRequest *p, const char *reason, guint32 retry_after_ms)
 {
-  finish_with (a, a->once_only ? CC_OUTCOME_UNKNOWN : CC_OUTCOME_NOT_RUN,
-               reason, wait_ms);
+  finish_with (p, p->once_only ? CC_OUTCOME_UNKNOWN : CC_OUTCOME_NOT_RUN,
+               reason, retry_after_ms);
 }
 
 static void
 on_deadline (gpointer data)
 {
-  CcPendingRequest *a = data;
+  CcPendingRequest *p = data;
 
-  if (a->state == ASK_SENT || a->earlier.id != 0)
-    finish_with (a, CC_OUTCOME_UNKNOWN, "deadline", 0);
+  if (p->state == REQUEST_SENT || p->earlier.id != 0)
+    finish_with (p, CC_OUTCOME_UNKNOWN, "deadline", 0);
   else
-    refuse (a, "deadline", MOVE_WAIT_MS);
+    reject (p, "deadline", MOVE_RETRY_AFTER_MS);
 }
 
 static gboolean
-on_retry (gpointer data)
+on_recheck (gpointer data)
 {
   CcRouter *r = data;
 
-  r->retry = 0;
+  r->recheck = 0;
   cc_router_view_changed (r);
   return G_SOURCE_REMOVE;
 }
 
-/* How long A may be parked, us. */
+/* Returns how long P may be parked, us. */
 static gint64
-park_max (const CcPendingRequest *a)
+park_max (const CcPendingRequest *p)
 {
-  if (a->once_only)
-    return MOVE_MAX;
-  return a->unanswered > 0 ? LINK_BACK_MAX : PARK_MAX;
+  if (p->once_only)
+    return ONCE_ONLY_PARK_MAX;
+  return p->maybe_run > 0 ? RECONNECT_PARK_MAX : PARK_MAX;
 }
 
 static void
-park (CcPendingRequest *a)
+park (CcPendingRequest *p)
 {
-  CcRouter *r = a->router;
+  CcRouter *r = p->router;
 
-  a->state = ASK_PARKED;
-  g_hash_table_add (r->parked, a);
-  if (a->park_until == 0)
-    a->park_until = cc_clock_now () + park_max (a);
-  if (r->retry == 0)
-    r->retry = g_timeout_add (PARK_RETRY_MS, on_retry, r);
+  p->state = REQUEST_PARKED;
+  g_hash_table_add (r->parked, p);
+  if (p->park_until == 0)
+    p->park_until = cc_clock_now () + park_max (p);
+  if (r->recheck == 0)
+    r->recheck = g_timeout_add (PARK_RECHECK_MS, on_recheck, r);
 }
 
-/* The member that dispatches to the owner of A's key, or NULL while ownership
- * moves. */
+/* Returns the dispatcher that holds the server of P's key and sets *EPOCH to
+ * that of the slice; NULL while ownership moves. */
 static const CcMember *
-find_dispatcher (const CcPendingRequest *a, guint64 *epoch)
+find_dispatcher (const CcPendingRequest *p, guint64 *epoch)
 {
-  const CcSliceMap *m = cc_follower_map (a->router->follower, a->pool);
+  const CcSliceMap *m = cc_follower_map (p->router->follower, p->pool);
   const CcMapServer *owner;
   gsize length;
-  gconstpointer key = g_bytes_get_data (a->key, &length);
+  gconstpointer key = g_bytes_get_data (p->key, &length);
   guint slice;
 
   if (m == NULL)
@@ -260,135 +265,140 @@
   if (owner == NULL || owner->from[0] != '\0')
     return NULL;
   *epoch = cc_slicemap_at (m, slice)->epoch;
-  return cc_follower_member (a->router->follower, owner->dispatcher);
+  return cc_follower_member (p->router->follower, owner->dispatcher);
 }
 
-/* Sends the message ID for A. */
+/* Sends P to TO as message ID. */
 static CcStatus
-send_to (CcPendingRequest *a, guint64 id, const CcMember *to, guint64 epoch)
+send_to (CcPendingRequest *p, guint64 id, const CcMember *to, guint64 epoch)
 {
   CcMessage m = { .kind = CC_MSG_REQUEST };
   CcMsgRequest *r = &m.u.request;
 
   m.to = to->incarnation;
   m.id = id;
-  m.expires = a->deadline;
-  r->class_name = a->class_name;
-  r->tenant = a->tenant;
-  r->idempotency = a->idempotency;
-  r->method = a->method;
-  r->path = a->path;
-  r->deadline = a->deadline;
+  m.expires = p->deadline;
+  r->class_name = p->class_name;
+  r->tenant = p->tenant;
+  r->idempotency = p->idempotency;
+  r->method = p->method;
+  r->path = p->path;
+  r->deadline = p->deadline;
   r->epoch = epoch;
-  r->key = a->key;
-  r->headers = a->headers;
-  r->body = a->body;
-  return cc_mailbox_send (a->router->mailbox, to->address, &m);
+  r->key = p->key;
+  r->headers = p->headers;
+  r->body = p->body;
+  return cc_mailbox_send (p->router->mailbox, to->address, &m);
 }
 
-/* Whether TO went silent lately and may go on: then an ask that would be told
- * unknown waits for it.  So a new ask does if it is once-only. */
+/* Whether P waits for TO, which went silent recently and may resume.  Only
+ * requests that would end with unknown wait, which includes new once-only ones.
+ */
 static gboolean
-awaits_silent (const CcPendingRequest *a, const CcMember *to, gint64 now)
+awaits_silent_dispatcher (const CcPendingRequest *p, const CcMember *to,
+                          gint64 now)
 {
-  gint64 since = cc_mailbox_silent_since (a->router->mailbox, to->address);
+  gint64 since = cc_mailbox_silent_since (p->router->mailbox, to->address);
 
-  return since != 0 && (a->once_only || a->unanswered > 0) &&
-         now < since + SILENT_MAX;
+  return since != 0 && (p->once_only || p->maybe_run > 0) &&
+         now < since + SILENT_WAIT_MAX;
 }
 
-/* Whether A waits for the map that names the heir of TO, which is drained and
- * has ended. */
+/* Whether P waits for the map that names the next owner, since TO was draining
+ * and has exited. */
 static gboolean
-awaits_heir (const CcPendingRequest *a, const CcMember *to, gint64 now)
+awaits_successor (const CcPendingRequest *p, const CcMember *to, gint64 now)
 {
-  return to->draining && (a->park_until == 0 || now < a->park_until);
+  return to->draining && (p->park_until == 0 || now < p->park_until);
 }
 
-/* Whether the answer to A's earlier copy is awaited for a moment yet, since the
- * link to TO carries messages again. */
+/* Whether P still waits up to RESEND_DELAY for the reply to its earlier copy,
+ * since the link to TO carries messages again. */
 static gboolean
-awaits_earlier (CcPendingRequest *a, const CcMember *to, gint64 now)
+awaits_earlier (CcPendingRequest *p, const CcMember *to, gint64 now)
 {
-  if (a->earlier.id == 0 || a->earlier.incarnation != to->incarnation ||
-      !cc_mailbox_is_up (a->router->mailbox, to->address))
+  if (p->earlier.id == 0 || p->earlier.incarnation != to->incarnation ||
+      !cc_mailbox_is_up (p->router->mailbox, to->address))
     return FALSE;
-  if (a->copy_at == 0)
-    a->copy_at = now + COPY_PAUSE;
-  return now < a->copy_at;
+  if (p->resend_at == 0)
+    p->resend_at = now + RESEND_DELAY;
+  return now < p->resend_at;
 }
 
-/* Sends A, parks it, or refuses it.  Returns FALSE if A is gone. */
+/* Sends P, parks it, or rejects it.  Returns FALSE if P has ended and is freed.
+ */
 static gboolean
-route (CcPendingRequest *a)
+route (CcPendingRequest *p)
 {
   gint64 now = cc_clock_now ();
-  guint64 epoch = 0, id = cc_mailbox_next_id (a->router->mailbox);
-  const CcMember *to = find_dispatcher (a, &epoch);
+  guint64 epoch = 0, id = cc_mailbox_next_id (p->router->mailbox);
+  const CcMember *to = find_dispatcher (p, &epoch);
 
   if (to == NULL)
     {
-      if (a->park_until != 0 && now >= a->park_until)
+      if (p->park_until != 0 && now >= p->park_until)
         {
-          refuse (a, "moving", MOVE_WAIT_MS);
+          reject (p, "moving", MOVE_RETRY_AFTER_MS);
           return FALSE;
         }
-      park (a);
+      park (p);
       return TRUE;
     }
-  if (awaits_earlier (a, to, now))
+  if (awaits_earlier (p, to, now))
     {
-      park (a);
+      park (p);
       return TRUE;
     }
-  switch (send_to (a, id, to, epoch))
+  switch (send_to (p, id, to, epoch))
     {
     case CC_OK:
       break;
     case CC_FULL:
-      refuse (a, "busy", MOVE_WAIT_MS);
+      reject (p, "busy", MOVE_RETRY_AFTER_MS);
       return FALSE;
     default:
-      if (awaits_silent (a, to, now) || awaits_heir (a, to, now) ||
-          (a->unanswered > 0 && now < a->park_until))
+      if (awaits_silent_dispatcher (p, to, now) ||
+          awaits_successor (p, to, now) ||
+          (p->maybe_run > 0 && now < p->park_until))
         {
-          park (a);
+          park (p);
           return TRUE;
         }
-      refuse (a, "unreachable", TAKEOVER_WAIT_MS);
+      reject (p, "unreachable", TAKEOVER_RETRY_AFTER_MS);
       return FALSE;
     }
-  g_hash_table_remove (a->router->parked, a);
-  a->state = ASK_SENT;
-  open_copy (a, &a->copy, id, to->address, to->incarnation);
+  g_hash_table_remove (p->router->parked, p);
+  p->state = REQUEST_SENT;
+  record_copy (p, &p->copy, id, to->address, to->incarnation);
   return TRUE;
 }
 
-/* Asks for W.  DONE is called once, maybe before this returns, in which case
- * NULL is returned. */
+/* Submits a request as SPEC describes.  DONE is called once with the outcome
+ * unless the request is cancelled; if that happens before this returns, the
+ * result is NULL. */
 CcPendingRequest *
-cc_router_submit (CcRouter *r, const CcCallerRequest *w, CcRequestDone done,
+cc_router_submit (CcRouter *r, const CcCallerRequest *spec, CcRequestDone done,
                   gpointer data)
 {
-  CcPendingRequest *a = g_new0 (CcPendingRequest, 1);
-  gint64 left = w->deadline - cc_clock_wall () + ANSWER_GRACE;
-
-  a->router = r;
-  a->class_name = g_strdup (w->class->name);
-  a->pool = g_strdup (w->class->pool);
-  a->tenant = g_strdup (w->tenant);
-  a->idempotency = g_strdup (w->idempotency);
-  a->method = g_strdup (w->method);
-  a->path = g_strdup (w->path);
-  a->headers = g_variant_ref (w->headers);
-  a->key = g_bytes_ref (w->key);
-  a->body = g_bytes_ref (w->body);
-  a->deadline = w->deadline;
-  a->once_only = w->class->once_only;
-  a->done = done;
-  a->data = data;
-  cc_timer_start (&a->timer, left, on_deadline, a);
-  return route (a) ? a : NULL;
+  CcPendingRequest *p = g_new0 (CcPendingRequest, 1);
+  gint64 left = spec->deadline - cc_clock_wall () + REPLY_GRACE;
+
+  p->router = r;
+  p->class_name = g_strdup (spec->class->name);
+  p->pool = g_strdup (spec->class->pool);
+  p->tenant = g_strdup (spec->tenant);
+  p->idempotency = g_strdup (spec->idempotency);
+  p->method = g_strdup (spec->method);
+  p->path = g_strdup (spec->path);
+  p->headers = g_variant_ref (spec->headers);
+  p->key = g_bytes_ref (spec->key);
+  p->body = g_bytes_ref (spec->body);
+  p->deadline = spec->deadline;
+  p->once_only = spec->class->once_only;
+  p->done = done;
+  p->data = data;
+  cc_timer_start (&p->timer, left, on_deadline, p);
+  return route (p) ? p : NULL;
 }
 
 static void
@@ -405,93 +415,94 @@
   cc_mailbox_send (r->mailbox, c->address, &m);
 }
 
-/* The caller went away: A's callback will not be called. */
+/* Cancels P, whose caller has disconnected.  Its callback is not called. */
 void
-cc_router_cancel (CcRouter *r, CcPendingRequest *a)
+cc_router_cancel (CcRouter *r, CcPendingRequest *p)
 {
-  cancel_copy (r, &a->copy, a->deadline);
-  cancel_copy (r, &a->earlier, a->deadline);
-  detach (a);
-  ask_free (a);
+  cancel_copy (r, &p->copy, p->deadline);
+  cancel_copy (r, &p->earlier, p->deadline);
+  untrack (p);
+  request_free (p);
 }
 
-/* Copy C of A was answered with R.  Returns FALSE if A goes on to wait: a copy
- * that was refused says nothing of the other, which may stand in the same
- * queue, nor of one yet to be sent.  That the last copy's outcome is unknown is
- * final: who holds the key now does not know what became of it, and the one
- * before has lost its lease. */
+/* Handles reply R to copy C of P.  Returns whether it decides P's outcome,
+ * FALSE if P continues to wait: a rejected copy proves nothing about the other
+ * one, which may be in the same queue, or about one yet to be sent.  Unknown
+ * for the last copy is final, since the present owner has no record of the
+ * request and the previous one has lost its lease. */
 static gboolean
-settles (CcPendingRequest *a, Copy *c, const CcMsgReply *r)
+decides_outcome (CcPendingRequest *p, Copy *c, const CcMsgReply *r)
 {
   if (r->outcome == CC_OUTCOME_RUN ||
-      (r->outcome == CC_OUTCOME_UNKNOWN && c == &a->copy))
+      (r->outcome == CC_OUTCOME_UNKNOWN && c == &p->copy))
     return TRUE;
-  if (c == &a->earlier && r->outcome == CC_OUTCOME_NOT_RUN)
-    a->unanswered--;
-  close_copy (a, c);
-  return a->state == ASK_SENT && a->copy.id == 0 && a->earlier.id == 0;
+  if (c == &p->earlier && r->outcome == CC_OUTCOME_NOT_RUN)
+    p->maybe_run--;
+  forget_copy (p, c);
+  return p->state == REQUEST_SENT && p->copy.id == 0 && p->earlier.id == 0;
 }
 
-/* Handles a REPLY.  An answer is taken only for a request that waits, from the
- * incarnation it was sent to; others are counted and dropped. */
+/* Handles a REPLY.  It is accepted only for a request in progress and from the
+ * incarnation that the request was sent to; others are counted and dropped. */
 void
 cc_router_reply (CcRouter *r, const CcMessage *m)
 {
-  CcPendingRequest *a = g_hash_table_lookup (r->asks, &m->id);
+  CcPendingRequest *p = g_hash_table_lookup (r->in_flight, &m->id);
   Copy *c;
 
-  if (a == NULL)
+  if (p == NULL)
     {
       ++*r->late;
       return;
     }
-  c = a->copy.id == m->id ? &a->copy : &a->earlier;
+  c = p->copy.id == m->id ? &p->copy : &p->earlier;
   if (c->incarnation != m->from)
     {
-      ++*r->crossed;
+      ++*r->wrong_sender;
       return;
     }
-  if (!settles (a, c, &m->u.reply))
+  if (!decides_outcome (p, c, &m->u.reply))
     return;
   if (!m->u.reply.reroute)
     {
-      finish (a, &m->u.reply);
+      finish (p, &m->u.reply);
       return;
     }
-  a->unanswered += m->u.reply.outcome != CC_OUTCOME_NOT_RUN;
+  p->maybe_run += m->u.reply.outcome != CC_OUTCOME_NOT_RUN;
   ++*r->rerouted;
-  if (a->park_until != 0 && cc_clock_now () >= a->park_until)
+  if (p->park_until != 0 && cc_clock_now () >= p->park_until)
     {
-      park (a);
-      refuse (a, m->u.reply.reason, m->u.reply.retry_after);
+      park (p);
+      reject (p, m->u.reply.reason, m->u.reply.retry_after);
       return;
     }
-  park (a);
+  park (p);
 }
 
-/* The asks that wait for an answer, each once. */
+/* Returns the requests that await a reply, each once. */
 static GList *
-waiting_asks (const CcRouter *r)
+requests_in_flight (const CcRouter *r)
 {
-  g_autoptr (GHashTable) seen = g_hash_table_new (NULL, NULL);
+  g_autoptr (GHashTable) set = g_hash_table_new (NULL, NULL);
   GHashTableIter iter;
-  gpointer ask;
+  gpointer request;
 
-  g_hash_table_iter_init (&iter, r->asks);
-  while (g_hash_table_iter_next (&iter, NULL, &ask))
-    g_hash_table_add (seen, ask);
-  return g_hash_table_get_keys (seen);
+  g_hash_table_iter_init (&iter, r->in_flight);
+  while (g_hash_table_iter_next (&iter, NULL, &request))
+    g_hash_table_add (set, request);
+  return g_hash_table_get_keys (set);
 }
 
-/* Whether the dispatcher that C was sent to was being drained, as far as is
- * known: it takes its row away before it ends. */
+/* Whether the dispatcher that C was sent to was draining, as far as is known.
+ * A draining dispatcher deletes its member row before it exits, so one without
+ * a row counts as draining. */
 static gboolean
-was_draining (const CcPendingRequest *a, const Copy *c)
+was_draining (const CcPendingRequest *p, const Copy *c)
 {
   GHashTableIter iter;
   gpointer value;
 
-  g_hash_table_iter_init (&iter, a->router->follower->members);
+  g_hash_table_iter_init (&iter, p->router->follower->members);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const CcMember *m = value;
@@ -503,65 +514,65 @@
   return TRUE;
 }
 
-/* The link over which A's last copy was sent is lost, by silence since
- * SILENT_SINCE, us, or closed: 0. */
+/* The link over which P's last copy was sent is lost: silent since
+ * SILENT_SINCE, us, or closed if that is 0. */
 static void
-lose_copy (CcPendingRequest *a, gint64 silent_since)
+on_copy_link_lost (CcPendingRequest *p, gint64 silent_since)
 {
-  Copy lost = a->copy;
+  Copy lost = p->copy;
 
-  if (a->once_only && silent_since == 0 && !was_draining (a, &lost))
+  if (p->once_only && silent_since == 0 && !was_draining (p, &lost))
     {
-      finish_with (a, CC_OUTCOME_UNKNOWN, "link", 0);
+      finish_with (p, CC_OUTCOME_UNKNOWN, "link", 0);
       return;
     }
-  ++*a->router->resent;
-  a->unanswered++;
-  a->park_until = silent_since != 0 ? silent_since + SILENT_MAX : 0;
-  a->copy_at = 0;
-  g_hash_table_remove (a->router->asks, &a->copy.id);
-  a->copy.id = 0;
-  if (silent_since != 0 && a->earlier.id == 0)
-    open_copy (a, &a->earlier, lost.id, lost.address, lost.incarnation);
-  g_clear_pointer (&a->copy.address, g_free);
-  park (a);
+  ++*p->router->resent;
+  p->maybe_run++;
+  p->park_until = silent_since != 0 ? silent_since + SILENT_WAIT_MAX : 0;
+  p->resend_at = 0;
+  g_hash_table_remove (p->router->in_flight, &p->copy.id);
+  p->copy.id = 0;
+  if (silent_since != 0 && p->earlier.id == 0)
+    record_copy (p, &p->earlier, lost.id, lost.address, lost.incarnation);
+  g_clear_pointer (&p->copy.address, g_free);
+  park (p);
 }
 
-/* The link of A's earlier copy was closed. */
+/* The link of P's earlier copy was closed. */
 static void
-lose_earlier (CcPendingRequest *a)
+on_earlier_link_lost (CcPendingRequest *p)
 {
-  close_copy (a, &a->earlier);
-  if (a->state == ASK_SENT && a->copy.id == 0)
-    finish_with (a, CC_OUTCOME_UNKNOWN, "link", 0);
+  forget_copy (p, &p->earlier);
+  if (p->state == REQUEST_SENT && p->copy.id == 0)
+    finish_with (p, CC_OUTCOME_UNKNOWN, "link", 0);
 }
 
-/* The link to ADDRESS came up, or was lost: closed by the peer, or silent.
- * What had been sent over a lost link may have run, and its answer may not
- * come. */
+/* Handles a change of the link to ADDRESS: it came up (UP), or was lost, which
+ * means closed by the peer or silent.  Requests sent over a lost link may have
+ * run, and their replies may not arrive. */
 void
 cc_router_link (CcRouter *r, const char *address, gboolean up)
 {
   gint64 silent_since = cc_mailbox_silent_since (r->mailbox, address);
-  g_autoptr (GList) asks = NULL;
+  g_autoptr (GList) in_flight = NULL;
 
   if (up)
     return;
   ++*r->links_lost;
-  asks = waiting_asks (r);
-  for (GList *l = asks; l != NULL; l = l->next)
+  in_flight = requests_in_flight (r);
+  for (GList *l = in_flight; l != NULL; l = l->next)
     {
-      CcPendingRequest *a = l->data;
+      CcPendingRequest *p = l->data;
 
-      if (a->copy.id != 0 && g_str_equal (a->copy.address, address))
-        lose_copy (a, silent_since);
-      else if (a->earlier.id != 0 && silent_since == 0 &&
-               g_str_equal (a->earlier.address, address))
-        lose_earlier (a);
+      if (p->copy.id != 0 && g_str_equal (p->copy.address, address))
+        on_copy_link_lost (p, silent_since);
+      else if (p->earlier.id != 0 && silent_since == 0 &&
+               g_str_equal (p->earlier.address, address))
+        on_earlier_link_lost (p);
     }
 }
 
-/* Ownership may have changed: looks at all parked asks again. */
+/* Routes all parked requests again, since ownership may have changed. */
 void
 cc_router_view_changed (CcRouter *r)
 {
@@ -570,13 +581,14 @@
   for (GList *l = parked; l != NULL; l = l->next)
     route (l->data);
   g_list_free (parked);
-  if (g_hash_table_size (r->parked) > 0 && r->retry == 0)
-    r->retry = g_timeout_add (PARK_RETRY_MS, on_retry, r);
+  if (g_hash_table_size (r->parked) > 0 && r->recheck == 0)
+    r->recheck = g_timeout_add (PARK_RECHECK_MS, on_recheck, r);
 }
 
-/* How many asks wait for an answer; one that waits for two counts twice. */
+/* Returns the number of replies awaited and requests parked; a request that
+ * awaits two replies counts twice. */
 guint
 cc_router_pending (const CcRouter *r)
 {
-  return g_hash_table_size (r->asks) + g_hash_table_size (r->parked);
+  return g_hash_table_size (r->in_flight) + g_hash_table_size (r->parked);
 }
--- a/router.h
+++ b/router.h
@@ -1,4 +1,5 @@
-/* A caller's request inside an entry, from its headers to its answer. */
+/* Routes callers' requests from an entry to the dispatchers that own their
+ * keys, and tracks each until its outcome is known. */
 #ifndef CC_ROUTER_H
 #define CC_ROUTER_H
 
@@ -12,7 +13,7 @@
 /* Called once with the outcome; R and its parts are valid during the call. */
 typedef void (*CcRequestDone) (const CcMsgReply *r, gpointer data);
 
-/* What a caller wants; everything is copied. */
+/* A request to submit; cc_router_submit copies or references every member. */
 typedef struct
 {
   const CcClass *class;
@@ -27,9 +28,9 @@
 } CcCallerRequest;
 
 CcRouter *cc_router_new (CcFollower *f, CcMailbox *box);
-CcPendingRequest *cc_router_submit (CcRouter *r, const CcCallerRequest *w,
+CcPendingRequest *cc_router_submit (CcRouter *r, const CcCallerRequest *spec,
                                     CcRequestDone done, gpointer data);
-void cc_router_cancel (CcRouter *r, CcPendingRequest *a);
+void cc_router_cancel (CcRouter *r, CcPendingRequest *p);
 void cc_router_reply (CcRouter *r, const CcMessage *m);
 void cc_router_link (CcRouter *r, const char *address, gboolean up);
 void cc_router_view_changed (CcRouter *r);
--- a/test/test_router.c
+++ b/test/test_router.c
@@ -1,6 +1,6 @@
-/* Answers and messages that arrive where they are not meant for, on real nng
- * sockets on loopback: an entry's router on one mailbox, a dispatcher's mailbox
- * and a stranger's, all in this process. */
+/* Guards against wrong outcomes when answers come late or from another process,
+ * messages reach a later process, or links are lost.  The router, a dispatcher
+ * and a third mailbox run in this process over loopback. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -20,18 +20,18 @@
 #define ENTRY 11      /* incarnations */
 #define DISPATCHER 22 /* of the dispatcher */
 #define STRANGER 33
-#define MISSED 44 /* of a process that is no more */
+#define GONE 44 /* of a process that has exited */
 #define SETTLE_MS 50
-#define PARKED_LOOK_MS 10 /* parked asks are looked at so often */
+#define PARK_RETRY_MS 10 /* recheck interval of parked requests */
 #define PORT 7100
 
 typedef struct
 {
   char *address;
   CcMailbox *box;
-  guint received; /* messages handed over by the mailbox */
-  guint64 last;   /* id of the last request */
-  guint64 former; /* and of the one before */
+  guint received;   /* messages delivered by the mailbox */
+  guint64 last;     /* id of the last request */
+  guint64 previous; /* id of the request before it */
   CcRouter *router;
 } Peer;
 
@@ -55,7 +55,7 @@
   p->received++;
   if (m->kind == CC_MSG_REQUEST)
     {
-      p->former = p->last;
+      p->previous = p->last;
       p->last = m->id;
     }
   if (m->kind == CC_MSG_REPLY && p->router != NULL)
@@ -71,8 +71,8 @@
     cc_router_link (p->router, address, up);
 }
 
-/* An address of its own in 127/8 for each peer of each process of this test, so
- * that no other connection of the machine holds its port. */
+/* Returns an address in 127/8 that is unique to this peer and process, so that
+ * no other connection on the machine uses its port. */
 static char *
 free_address (void)
 {
@@ -95,9 +95,9 @@
   assert_non_null (p->box);
 }
 
-/* Ends P's mailbox.  nng_close of a PULL socket can wait forever if a message
- * arrives meanwhile.  All peers send from this thread, so a pause empties the
- * connections. */
+/* Closes P's mailbox.  nng_close of a PULL socket can block forever if a
+ * message arrives during the call.  All peers send from this thread, so a pause
+ * drains the connections. */
 static void
 close_peer (Peer *p)
 {
@@ -114,7 +114,7 @@
 }
 
 static void
-turn_for (guint ms)
+run_main_loop (guint ms)
 {
   gboolean over = FALSE;
 
@@ -129,10 +129,10 @@
   return *cc_metrics_counter (name, "");
 }
 
-/* Messages pass through threads of the library, which may have to wait for a
- * processor, so tests wait for events.  The clock of the runtime stands
- * meanwhile: what happens then does not happen since time has passed.  A test
- * that waits longer than this hangs. */
+/* Messages pass through nng's threads, which may wait for a processor, so tests
+ * wait for events rather than for fixed times.  The runtime's clock is paused
+ * meanwhile, so that no timeout causes an event.  Waiting longer than this
+ * fails the test. */
 #define HANGS_AFTER_MS 10000
 
 static void
@@ -141,16 +141,16 @@
   cc_clock_pause (cc_clock_now (), cc_clock_wall ());
 }
 
-/* Lets MS pass on the paused clock, and what is due happen. */
+/* Advances the paused clock by MS and runs the timers that are due. */
 static void
 advance (guint ms)
 {
   cc_clock_advance (ms * CC_MS);
   cc_timers_run ();
-  turn_for (2 * PARKED_LOOK_MS);
+  run_main_loop (2 * PARK_RETRY_MS);
 }
 
-/* The clock never goes back. */
+/* Resumes the clock, waiting first if it would go back. */
 static void
 resume_clock (void)
 {
@@ -161,22 +161,22 @@
     g_usleep ((gulong) (paused - cc_clock_now ()));
 }
 
-/* Until the dispatcher has received COUNT messages since it had RECEIVED. */
+/* Waits until the dispatcher has received RECEIVED + COUNT messages. */
 static void
 await_requests (guint received, guint count)
 {
   for (guint i = 0;
        i < HANGS_AFTER_MS && dispatcher.received < received + count; i++)
-    turn_for (1);
+    run_main_loop (1);
   assert_int_equal (dispatcher.received, received + count);
 }
 
-/* Until the counter NAME has VALUE. */
+/* Waits until the counter NAME has VALUE. */
 static void
 await_count (const char *name, guint64 value)
 {
   for (guint i = 0; i < HANGS_AFTER_MS && counter (name) != value; i++)
-    turn_for (1);
+    run_main_loop (1);
   assert_int_equal (counter (name), value);
 }
 
@@ -184,12 +184,12 @@
 await_answer (const Answer *a)
 {
   for (guint i = 0; i < HANGS_AFTER_MS && a->calls == 0; i++)
-    turn_for (1);
+    run_main_loop (1);
   assert_int_equal (a->calls, 1);
 }
 
 static CcFollower *
-knowing_follower (void)
+follower_new_with_map (void)
 {
   static char *none[] = { NULL };
   CcFollower *f =
@@ -219,13 +219,13 @@
   open_peer (&entry, ENTRY);
   open_peer (&dispatcher, DISPATCHER);
   open_peer (&stranger, STRANGER);
-  view = knowing_follower ();
+  view = follower_new_with_map ();
   entry.router = cc_router_new (view, entry.box);
   cc_mailbox_connect (entry.box, dispatcher.address);
   for (guint i = 0;
        i < HANGS_AFTER_MS && !cc_mailbox_is_up (entry.box, dispatcher.address);
        i++)
-    turn_for (1);
+    run_main_loop (1);
   return cc_mailbox_is_up (entry.box, dispatcher.address) ? 0 : -1;
 }
 
@@ -243,10 +243,10 @@
   memcpy (a->body, body != NULL ? body : "", MIN (size, sizeof a->body - 1));
 }
 
-static char *asked_key; /* Idempotency-Key of the next ask */
+static char *next_idempotency_key; /* of the next request; NULL: none */
 
 static void
-ask (Answer *a, gboolean once_only, guint ms)
+submit (Answer *a, gboolean once_only, guint ms)
 {
   CcClass class = { .name = (char *) "browse",
                     .pool = (char *) POOL,
@@ -254,18 +254,20 @@
   g_autoptr (GVariant) headers = cc_headers_take (g_string_new (NULL));
   g_autoptr (GBytes) key = g_bytes_new_static ("k", 1);
   g_autoptr (GBytes) body = g_bytes_new_static ("", 0);
-  CcCallerRequest w = { .class = &class,
-                        .tenant = "t",
-                        .idempotency = asked_key != NULL ? asked_key : "",
-                        .method = "GET",
-                        .path = "/",
-                        .headers = headers,
-                        .key = key,
-                        .body = body,
-                        .deadline = cc_clock_wall () + ms * CC_MS };
+  CcCallerRequest spec = { .class = &class,
+                           .tenant = "t",
+                           .idempotency = next_idempotency_key != NULL
+                                              ? next_idempotency_key
+                                              : "",
+                           .method = "GET",
+                           .path = "/",
+                           .headers = headers,
+                           .key = key,
+                           .body = body,
+                           .deadline = cc_clock_wall () + ms * CC_MS };
 
   *a = (Answer){ 0 };
-  cc_router_submit (entry.router, &w, on_answer, a);
+  cc_router_submit (entry.router, &spec, on_answer, a);
 }
 
 static void
@@ -281,8 +283,8 @@
   cc_mailbox_send (from->box, entry.address, &m);
 }
 
-/* The caller gets its own answer, although one with the same number came first
- * from a process that was not asked. */
+/* Guards against an answer being accepted from a process that the request was
+ * not sent to, since it carries the same id. */
 static void
 crossed_answer_is_dropped (void **state)
 {
@@ -292,7 +294,7 @@
 
   (void) state;
   pause_clock ();
-  ask (&a, TRUE, 2000);
+  submit (&a, TRUE, 2000);
   await_requests (received, 1);
   reply (&stranger, dispatcher.last, "stranger's");
   await_count ("capercrank_answers_crossed", before + 1);
@@ -303,7 +305,8 @@
   resume_clock ();
 }
 
-/* The deadline passes, the caller is told unknown, then the answer comes. */
+/* Guards against a second outcome when the answer arrives after the deadline,
+ * at which the caller received unknown. */
 static void
 late_answer_is_dropped (void **state)
 {
@@ -313,7 +316,7 @@
 
   (void) state;
   pause_clock ();
-  ask (&a, TRUE, 100);
+  submit (&a, TRUE, 100);
   await_requests (received, 1);
   assert_int_equal (a.calls, 0);
   advance (250);
@@ -326,7 +329,7 @@
 }
 
 static void
-set_handed_over_from (const char *from)
+set_previous_holder (const char *from)
 {
   CcMapServer *s = cc_slicemap_server (cc_follower_map (view, POOL), 0);
 
@@ -334,37 +337,37 @@
   s->from = g_strdup (from);
 }
 
-/* Guards against "unknown" for once-only work that was sent to nobody, while
- * the platform is slow and its key is on its way for longer than usual. */
+/* Guards against outcome unknown for a once-only request that was not sent
+ * anywhere, since a slow platform delayed the move of its key. */
 static void
-a_slow_move_is_waited_for (void **state)
+once_only_waits_for_slow_move (void **state)
 {
   guint received = dispatcher.received;
-  Answer once, again;
+  Answer once_only_answer, idempotent;
 
   (void) state;
   pause_clock ();
-  set_handed_over_from ("before");
-  ask (&once, TRUE, 5000);
-  ask (&again, FALSE, 5000);
+  set_previous_holder ("before");
+  submit (&once_only_answer, TRUE, 5000);
+  submit (&idempotent, FALSE, 5000);
   advance (2000);
-  assert_int_equal (once.calls, 0);
-  assert_int_equal (again.calls, 1);
-  assert_int_equal (again.outcome, CC_OUTCOME_NOT_RUN);
-  set_handed_over_from ("");
+  assert_int_equal (once_only_answer.calls, 0);
+  assert_int_equal (idempotent.calls, 1);
+  assert_int_equal (idempotent.outcome, CC_OUTCOME_NOT_RUN);
+  set_previous_holder ("");
   cc_router_view_changed (entry.router);
   await_requests (received, 1);
   reply (&dispatcher, dispatcher.last, "own");
-  await_answer (&once);
-  assert_string_equal (once.body, "own");
+  await_answer (&once_only_answer);
+  assert_string_equal (once_only_answer.body, "own");
   resume_clock ();
 }
 
-/* nng keeps a message while its receiver is absent and hands it to the next
- * process at that address.  Two of three must be dropped there: one for the
- * process that is no more, one that has expired. */
+/* Guards against delivery of stale messages: nng keeps a message while its
+ * receiver is absent and delivers it to the next process at that address.  Of
+ * the three, one is for the process that has exited and one has expired. */
 static void
-kept_messages_are_dropped (void **state)
+stale_messages_are_dropped (void **state)
 {
   Peer later = { 0 };
   guint64 before = counter ("capercrank_messages_stale");
@@ -372,7 +375,7 @@
   {
     guint64 to;
     gint64 lasts;
-  } sent[] = { { MISSED, 60 * CC_SECOND },
+  } sent[] = { { GONE, 60 * CC_SECOND },
                { 0, 50 * CC_MS },
                { STRANGER + 1, 60 * CC_SECOND } };
 
@@ -385,15 +388,16 @@
       m.expires = cc_clock_wall () + sent[i].lasts;
       assert_int_equal (cc_mailbox_send (entry.box, later.address, &m), CC_OK);
     }
-  turn_for (150);
+  run_main_loop (150);
   open_peer (&later, STRANGER + 1);
-  turn_for (600);
+  run_main_loop (600);
   assert_int_equal (later.received, 1);
   assert_int_equal (counter ("capercrank_messages_stale"), before + 2);
   close_peer (&later);
 }
 
-/* A request is not kept: the caller is told at once that nothing left. */
+/* Guards against a request that is queued for an absent dispatcher instead of
+ * being rejected immediately as not sent. */
 static void
 request_to_absent_is_refused (void **state)
 {
@@ -404,38 +408,37 @@
   assert_int_equal (cc_mailbox_send (entry.box, nobody, &m), CC_UNREACHABLE);
 }
 
-/* The dispatcher ends: once-only work is unknown at once, and idempotent work
- * that may have run is never said to be not-run, whatever follows.  A link that
- * does not come back soon means a takeover, which takes longer than the
- * request may be held: it is answered then, seconds before its deadline, and
- * told when to come back. */
+/* Guards against not-run for requests that may have run when the dispatcher
+ * exits.  Once-only requests get unknown immediately.  Idempotent ones wait
+ * briefly for the link, then get unknown with a retry time, since a takeover
+ * takes longer than a request may be parked. */
 static void
-lost_link_tells_the_truth (void **state)
+lost_link_outcomes (void **state)
 {
   guint received = dispatcher.received;
-  Answer once, again;
+  Answer once_only_answer, idempotent;
 
   (void) state;
   pause_clock ();
-  ask (&once, TRUE, 2000);
-  ask (&again, FALSE, 5000);
+  submit (&once_only_answer, TRUE, 2000);
+  submit (&idempotent, FALSE, 5000);
   await_requests (received, 2);
   close_peer (&dispatcher);
-  await_answer (&once);
-  assert_int_equal (once.outcome, CC_OUTCOME_UNKNOWN);
-  assert_string_equal (once.reason, "link");
+  await_answer (&once_only_answer);
+  assert_int_equal (once_only_answer.outcome, CC_OUTCOME_UNKNOWN);
+  assert_string_equal (once_only_answer.reason, "link");
   advance (200);
-  assert_int_equal (again.calls, 0);
+  assert_int_equal (idempotent.calls, 0);
   advance (600);
-  assert_int_equal (again.calls, 1);
-  assert_int_equal (again.outcome, CC_OUTCOME_UNKNOWN);
-  assert_true (again.retry_after > 0);
+  assert_int_equal (idempotent.calls, 1);
+  assert_int_equal (idempotent.outcome, CC_OUTCOME_UNKNOWN);
+  assert_true (idempotent.retry_after > 0);
   resume_clock ();
 }
 
-/* A UUID of version 7 made AGE_MS ago. */
+/* Returns a version 7 UUID with a timestamp AGE_MS ago. */
 static char *
-key_made (gint64 age_ms)
+idempotency_key (gint64 age_ms)
 {
   guint64 ms = (guint64) (cc_clock_wall () / CC_MS - age_ms);
 
@@ -443,15 +446,15 @@
                           (guint) (ms >> 16), (guint) (ms & 0xffff));
 }
 
-/* Guards against "not-run" for once-only work that another attempt with the
- * same key, made a moment ago through another entry, runs. */
+/* Guards against not-run for a rejected once-only request while another attempt
+ * with the same key may be running through another entry. */
 static void
-repeat_is_not_denied_without_memory (void **state)
+rejected_once_only_is_unknown (void **state)
 {
   static const struct
   {
     gint64 age_ms;
-    CcOutcome told;
+    CcOutcome outcome;
     gboolean once_only;
   } cases[] = { { 0, CC_OUTCOME_UNKNOWN, TRUE },
                 { 2000, CC_OUTCOME_UNKNOWN, TRUE },
@@ -462,13 +465,13 @@
     {
       Answer a;
 
-      asked_key = key_made (cases[i].age_ms);
-      ask (&a, cases[i].once_only, 2000);
-      turn_for (50);
+      next_idempotency_key = idempotency_key (cases[i].age_ms);
+      submit (&a, cases[i].once_only, 2000);
+      run_main_loop (50);
       assert_int_equal (a.calls, 1);
-      assert_int_equal (a.outcome, cases[i].told);
-      g_free (asked_key);
-      asked_key = NULL;
+      assert_int_equal (a.outcome, cases[i].outcome);
+      g_free (next_idempotency_key);
+      next_idempotency_key = NULL;
     }
 }
 
@@ -478,11 +481,11 @@
   cc_mailbox_connect (entry.box, address);
   for (guint i = 0;
        i < HANGS_AFTER_MS && !cc_mailbox_is_up (entry.box, address); i++)
-    turn_for (1);
+    run_main_loop (1);
   assert_true (cc_mailbox_is_up (entry.box, address));
 }
 
-/* The stranger has taken the dispatcher's server over. */
+/* Makes the stranger the owner of the dispatcher's server. */
 static void
 set_owner_stranger (void)
 {
@@ -497,14 +500,14 @@
   s->dispatcher = g_strdup ("s");
 }
 
-/* Guards against "unknown" for once-only work as a drained dispatcher ends,
- * while the entry is yet to read the map that names its heir: one request was
- * under way to it, one comes after. */
+/* Guards against outcome unknown for once-only requests when a drained
+ * dispatcher exits before the entry has read the map with its successor: one
+ * request was sent before the exit, one is submitted after it. */
 static void
-asks_of_a_drained_dispatcher_go_to_its_heir (void **state)
+requests_of_drained_dispatcher_go_to_successor (void **state)
 {
   guint64 lost = counter ("capercrank_links_lost");
-  guint received = dispatcher.received, inherited = stranger.received;
+  guint received = dispatcher.received, before_takeover = stranger.received;
   Answer sent, later;
 
   (void) state;
@@ -513,35 +516,34 @@
   await_link (stranger.address);
   ((CcMember *) cc_follower_member (view, "d"))->draining = TRUE;
   pause_clock ();
-  ask (&sent, TRUE, 5000);
+  submit (&sent, TRUE, 5000);
   await_requests (received, 1);
   close_peer (&dispatcher);
   await_count ("capercrank_links_lost", lost + 1);
-  ask (&later, TRUE, 5000);
+  submit (&later, TRUE, 5000);
   advance (1000);
   assert_int_equal (sent.calls, 0);
   assert_int_equal (later.calls, 0);
   set_owner_stranger ();
   cc_router_view_changed (entry.router);
-  for (guint i = 0; i < HANGS_AFTER_MS && stranger.received < inherited + 2;
-       i++)
-    turn_for (1);
-  assert_int_equal (stranger.received, inherited + 2);
-  reply (&stranger, stranger.former, "heir's");
-  reply (&stranger, stranger.last, "heir's");
+  for (guint i = 0;
+       i < HANGS_AFTER_MS && stranger.received < before_takeover + 2; i++)
+    run_main_loop (1);
+  assert_int_equal (stranger.received, before_takeover + 2);
+  reply (&stranger, stranger.previous, "successor's");
+  reply (&stranger, stranger.last, "successor's");
   await_answer (&sent);
   await_answer (&later);
-  assert_string_equal (sent.body, "heir's");
-  assert_string_equal (later.body, "heir's");
+  assert_string_equal (sent.body, "successor's");
+  assert_string_equal (later.body, "successor's");
   resume_clock ();
 }
 
-/* Guards against once-only work told unknown at its deadline, since its request
- * went to a process that had started anew at the address of the one that it was
- * for, which drops it: nothing is sent, and the map that names an owner is
- * waited for. */
+/* Guards against unknown at the deadline for a once-only request that was sent
+ * to a restarted process at the address of its dispatcher, which drops it.  The
+ * request must wait for a map with a current owner. */
 static void
-ask_for_a_former_process_is_not_sent (void **state)
+request_for_earlier_incarnation_is_not_sent (void **state)
 {
   guint64 refused = counter ("capercrank_messages_refused");
   guint received = dispatcher.received;
@@ -556,7 +558,7 @@
   open_peer (&dispatcher, DISPATCHER + 1);
   await_link (dispatcher.address);
   pause_clock ();
-  ask (&a, TRUE, 5000);
+  submit (&a, TRUE, 5000);
   advance (1000);
   assert_true (counter ("capercrank_messages_refused") > refused);
   assert_int_equal (dispatcher.received, received);
@@ -576,13 +578,13 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (crossed_answer_is_dropped),
     cmocka_unit_test (late_answer_is_dropped),
-    cmocka_unit_test (a_slow_move_is_waited_for),
-    cmocka_unit_test (kept_messages_are_dropped),
+    cmocka_unit_test (once_only_waits_for_slow_move),
+    cmocka_unit_test (stale_messages_are_dropped),
     cmocka_unit_test (request_to_absent_is_refused),
-    cmocka_unit_test (lost_link_tells_the_truth),
-    cmocka_unit_test (repeat_is_not_denied_without_memory),
-    cmocka_unit_test (asks_of_a_drained_dispatcher_go_to_its_heir),
-    cmocka_unit_test (ask_for_a_former_process_is_not_sent),
+    cmocka_unit_test (lost_link_outcomes),
+    cmocka_unit_test (rejected_once_only_is_unknown),
+    cmocka_unit_test (requests_of_drained_dispatcher_go_to_successor),
+    cmocka_unit_test (request_for_earlier_incarnation_is_not_sent),
   };
 
   return cmocka_run_group_tests (tests, start, NULL);
