--- a/exchange.c
+++ b/exchange.c
@@ -1,29 +1,28 @@
-/* How an attempt ends, and what becomes of its request: the caller's answer, or
- * another attempt.
+/* Handles the end of an attempt: answers the caller or retries.
  *
- * What may be sent again: what provably did not run, and what is idempotent.
- * A connection that could not be opened is proof; a connection that failed
- * after the first byte is none, whatever the upstream's state.  Each repeat
- * that reached an upstream is paid from the fleet's budget (retry_budget.h). */
+ * Only requests that provably did not run or are idempotent are retried.  A
+ * connection that could not be opened is proof; one that failed after the first
+ * byte is not, whatever the state of the upstream.  Each retry of an attempt
+ * that reached an upstream is taken from the fleet's retry budget
+ * (retry_budget.h), so that retries cannot multiply the load of an overloaded
+ * pool. */
 #include "exchange_state.h"
 
 #include "clock.h"
 #include "event_log.h"
 
-/* Upstreams that could not be reached, and so were not sent to, in one
- * request. */
+/* Attempts of one request that may fail before anything is sent. */
 #define UNREACHED_MAX 4
-/* Pause before a request for a key that moved is tried again, unless the
- * ranges change before. */
-#define MOVED_PAUSE (60 * CC_MS)
-/* Requests that an owner serves before one that it turned away is sent again.
- */
-#define REPEAT_AFTER 1.5
-/* A connection that is reset within this part of the time for which an upstream
- * works was not reset by work that failed. */
-#define AT_ONCE_PART 0.25
-
-/* Ends E without an answer; its call must have ended. */
+/* Delay before a retry after the key moved, unless the key ranges change
+ * earlier. */
+#define MOVED_RETRY_DELAY (60 * CC_MS)
+/* Delay of a retry at an owner, in requests that the owner serves meanwhile. */
+#define OWNER_RETRY_AFTER 1.5
+/* A connection reset within this share of the typical work time was not reset
+ * by work that failed. */
+#define IMMEDIATE_RESET_SHARE 0.25
+
+/* Frees E without calling its callback.  Its call must have ended. */
 void
 cc_exchange_free (CcExchange *e)
 {
@@ -40,7 +39,7 @@
   g_free (e);
 }
 
-/* How many requests are inside T, by what E's admission goes by. */
+/* Returns the estimated number of requests inside T that E's admission uses. */
 double
 cc_exchange_inside (const CcExchange *e, const CcTarget *t, gint64 now)
 {
@@ -49,7 +48,7 @@
 }
 
 static void
-end_with (CcExchange *e, CcEnd *end)
+finish (CcExchange *e, CcEnd *end)
 {
   CcExchangeDone done = e->done;
   gpointer data = e->data;
@@ -77,7 +76,7 @@
     done (end, data);
 }
 
-/* How long E may still take at NOW, us. */
+/* Returns the time left until E's deadline, us. */
 gint64
 cc_exchange_left (const CcExchange *e, gint64 now)
 {
@@ -89,13 +88,14 @@
 {
   CcEnd end = { .kind = CC_END_UNKNOWN, .reason = reason };
 
-  end_with (e, &end);
+  finish (e, &end);
 }
 
-/* Answers E, whose last attempt has not run, and lets its caller come back when
- * the queue of now has drained, and not before AT (us; 0: no matter).  An
- * idempotent request may have run in an attempt before: "not run" would be
- * untrue then, although its caller may repeat it. */
+/* Ends E, whose last attempt did not run, for REASON.  The caller's retry time
+ * is when the present queue has drained, but not before AT (us; 0: no bound).
+ * If an earlier attempt of an idempotent request may have run, the outcome is
+ * unknown: not-run would be false, although the caller may repeat the request.
+ */
 void
 cc_exchange_end_not_run_until (CcExchange *e, const char *reason, gint64 at)
 {
@@ -110,20 +110,20 @@
     }
   end.retry_after = cc_backlog_retry_after (
       MAX (wait, at - now), cc_exchange_left (e, now), g_random_double ());
-  end_with (e, &end);
+  finish (e, &end);
 }
 
-/* Ends E, of which no attempt has run, for REASON; its pool says when to come
- * back. */
+/* Ends E, whose last attempt did not run, for REASON, with a retry time taken
+ * from its pool's queue. */
 void
 cc_exchange_end_not_run (CcExchange *e, const char *reason)
 {
   cc_exchange_end_not_run_until (e, reason, 0);
 }
 
-/* The pool's upstreams are as R says of one of them. */
+/* Updates the estimate of the pool's load from result R of one upstream. */
 static void
-note_load (CcExchange *e, const CcPickResult *r, gint64 now)
+update_pool_load (CcExchange *e, const CcPickResult *r, gint64 now)
 {
   CcPoolLoad *load = &e->pool->load;
   double inside = r->report.running + r->report.waiting;
@@ -137,10 +137,10 @@
 }
 
 static void
-release_target (CcExchange *e, CcPickEnd how, const CcLoadReport *report)
+release_target (CcExchange *e, CcPickEnd end, const CcLoadReport *report)
 {
   gint64 now = cc_clock_now ();
-  CcPickResult r = { .end = how,
+  CcPickResult r = { .end = end,
                      .took = now - e->sent,
                      .work_share = e->work_share,
                      .typical = e->typical.kind };
@@ -149,14 +149,14 @@
     r.report = *report;
   e->served += now - e->sent;
   cc_pick_ended (&e->target->load, &r, now);
-  note_load (e, &r, now);
+  update_pool_load (e, &r, now);
   cc_backlog_ended (&e->pool->backlog, now);
-  if (how == CC_PICK_ANSWERED)
+  if (end == CC_PICK_ANSWERED)
     cc_work_times_add (&e->pool->times, e->kind,
                        (double) r.took * e->work_share);
 }
 
-/* Breaks off the attempt in progress. */
+/* Cancels the attempt in progress. */
 void
 cc_exchange_cancel_call (CcExchange *e)
 {
@@ -165,7 +165,8 @@
   release_target (e, CC_PICK_GIVEN_UP, NULL);
 }
 
-/* The time that the caller or the route allows is over. */
+/* Ends the exchange DATA, whose deadline has passed: not-run if it waits,
+ * unknown if it was sent. */
 void
 cc_exchange_on_timeout (gpointer data)
 {
@@ -183,21 +184,23 @@
 }
 
 static void
-wait_again (CcExchange *e, gint64 pause)
+requeue (CcExchange *e, gint64 delay)
 {
   gint64 now = cc_clock_now ();
 
   e->state = STATE_WAITING;
   e->call = NULL;
-  e->not_before = now + pause;
+  e->not_before = now + delay;
   cc_backlog_push (&e->pool->backlog, &e->entry);
   cc_timer_start (&e->timer, cc_exchange_left (e, now), cc_exchange_on_timeout,
                   e);
 }
 
-/* Whether E may be sent again after it reached an upstream, in vain. */
+/* Takes a retry from the budget for E, whose attempt reached an upstream and
+ * failed.  Returns FALSE if the attempts, the time or the budget are used up.
+ */
 static gboolean
-take_repeat (CcExchange *e)
+take_retry (CcExchange *e)
 {
   gint64 now = cc_clock_now ();
 
@@ -208,7 +211,7 @@
 }
 
 static void
-log_repeat (const CcExchange *e, const char *why)
+log_retry (const CcExchange *e, const char *why)
 {
   cc_event (CC_EVENT_FAILED, "attempt-repeated", "request", e->caller.id,
             "pool", e->pool->name, "target", e->target->listing.id, "why", why,
@@ -216,7 +219,8 @@
             cc_event_int (cc_exchange_left (e, cc_clock_now ()) / CC_MS), NULL);
 }
 
-/* Nothing of it left this process. */
+/* Retries E after an attempt of which nothing was sent.  It is not counted as
+ * an attempt and needs no budget. */
 static void
 retry_unsent (CcExchange *e, const char *why)
 {
@@ -228,8 +232,8 @@
       cc_exchange_end_not_run (e, "unreachable");
       return;
     }
-  log_repeat (e, why);
-  wait_again (e, 0);
+  log_retry (e, why);
+  requeue (e, 0);
 }
 
 static void
@@ -237,61 +241,62 @@
 {
   gboolean moved = reply->kind == CC_SERVER_MISDIRECTED && e->keyed;
 
-  if (!take_repeat (e))
+  if (!take_retry (e))
     {
       cc_exchange_end_not_run (e, moved ? "keys-moved" : "shed");
       return;
     }
-  log_repeat (e, moved ? "keys-moved" : "shed");
+  log_retry (e, moved ? "keys-moved" : "shed");
   e->moving = moved;
-  wait_again (e, moved ? MOVED_PAUSE : 0);
+  requeue (e, moved ? MOVED_RETRY_DELAY : 0);
 }
 
-/* A repeat at the key's owner, which is the only one to have it, goes there
- * when a request or two of its queue have been served: sent at once, it meets
- * the same full queue, and fails for good. */
+/* Returns the delay before a retry at the key's owner, the only upstream that
+ * may serve it: the time in which it serves a request or two of its queue.  An
+ * immediate retry would find the same full queue and fail for good. */
 static gint64
-repeat_pause (const CcExchange *e)
+owner_retry_delay (const CcExchange *e)
 {
   gint64 now = cc_clock_now ();
-  double one = e->typical.any * cc_pick_slowness (&e->target->load, now) /
-               MAX (e->target->load.slots, 1);
+  double work_time = e->typical.any * cc_pick_slowness (&e->target->load, now) /
+                     MAX (e->target->load.slots, 1);
 
-  return MIN ((gint64) (REPEAT_AFTER * one), cc_exchange_left (e, now) / 4);
+  return MIN ((gint64) (OWNER_RETRY_AFTER * work_time),
+              cc_exchange_left (e, now) / 4);
 }
 
 static void
 retry_unknown (CcExchange *e, const char *why)
 {
-  if (!e->idempotent || !take_repeat (e))
+  if (!e->idempotent || !take_retry (e))
     {
       cc_exchange_end_unknown (e, why);
       return;
     }
-  log_repeat (e, why);
+  log_retry (e, why);
   e->may_have_run = TRUE;
-  wait_again (e, e->keyed ? repeat_pause (e) : 0);
+  requeue (e, e->keyed ? owner_retry_delay (e) : 0);
 }
 
 static void
-take_answer (CcExchange *e, const CcHttpResult *r)
+handle_answer (CcExchange *e, const CcHttpResult *r)
 {
   CcEnd end = { .kind = CC_END_ANSWER, .reason = "" };
 
-  /* An idempotent request that the server failed may succeed elsewhere; at the
-   * deadline there is no time for that. */
+  /* An idempotent request may succeed at another upstream after a server error,
+   * except 504, which means that its deadline has passed. */
   if (r->status >= 500 && r->status != 504 && e->idempotent && !e->keyed &&
-      take_repeat (e))
+      take_retry (e))
     {
-      log_repeat (e, "server-error");
+      log_retry (e, "server-error");
       e->may_have_run = TRUE;
-      wait_again (e, 0);
+      requeue (e, 0);
       return;
     }
   end.status = r->status;
   end.headers = r->headers;
   end.body = r->body;
-  end_with (e, &end);
+  finish (e, &end);
 }
 
 static CcPickEnd
@@ -313,7 +318,7 @@
 }
 
 static void
-take_word (CcExchange *e, const CcHttpResult *r)
+handle_reply (CcExchange *e, const CcHttpResult *r)
 {
   CcServerReply reply = { 0 };
 
@@ -322,7 +327,7 @@
   switch (reply.kind)
     {
     case CC_SERVER_ANSWERED:
-      take_answer (e, r);
+      handle_answer (e, r);
       break;
     case CC_SERVER_SHED:
     case CC_SERVER_MISDIRECTED:
@@ -334,17 +339,18 @@
     }
 }
 
-/* Whether E's upstream, which reset the connection, did so for its load: at
- * once, as it does when its queue is full.  That is no proof that it did not
- * begin, only a sign of how much it takes. */
+/* Whether E's upstream reset the connection because of its load: immediately,
+ * as when its queue is full.  This is no proof that the work did not start,
+ * only a sign of the upstream's capacity. */
 static gboolean
-is_turned_away (const CcExchange *e, const CcHttpResult *r)
+is_overload_reset (const CcExchange *e, const CcHttpResult *r)
 {
   return g_str_equal (r->why, "reset") &&
-         (double) (cc_clock_now () - e->sent) < AT_ONCE_PART * e->typical.kind;
+         (double) (cc_clock_now () - e->sent) <
+             IMMEDIATE_RESET_SHARE * e->typical.kind;
 }
 
-/* The attempt of DATA, an exchange, ended with R. */
+/* Handles result R of the attempt of DATA, an exchange. */
 void
 cc_exchange_on_result (const CcHttpResult *r, gpointer data)
 {
@@ -356,7 +362,7 @@
   switch (r->end)
     {
     case CC_HTTP_ANSWERED:
-      take_word (e, r);
+      handle_reply (e, r);
       break;
     case CC_HTTP_UNSENT:
       release_target (e, CC_PICK_UNREACHABLE, NULL);
@@ -364,7 +370,7 @@
       break;
     case CC_HTTP_LOST:
       release_target (
-          e, is_turned_away (e, r) ? CC_PICK_TURNED_AWAY : CC_PICK_FAILED,
+          e, is_overload_reset (e, r) ? CC_PICK_TURNED_AWAY : CC_PICK_FAILED,
           NULL);
       retry_unknown (e, r->why);
       break;
--- a/exchange_state.h
+++ b/exchange_state.h
@@ -1,4 +1,4 @@
-/* The state of a request, for forward.c and exchange.c only. */
+/* The state of a request, shared by forward.c and exchange.c only. */
 #ifndef CC_EXCHANGE_STATE_H
 #define CC_EXCHANGE_STATE_H
 
@@ -17,9 +17,9 @@
 {
   CcForwarderSetup setup;
   GHashTable *pools;      /* name to CcForwardPool */
-  guint entries;          /* of the fleet */
+  guint entries;          /* in the fleet */
   guint pending;          /* requests without an answer */
-  CcTimer capacity_timer; /* for room that comes with time */
+  CcTimer capacity_timer; /* until the next capacity check */
   const CcView *state;
 };
 
@@ -31,36 +31,36 @@
   State state;
   gboolean keyed;
   gboolean idempotent;
-  gboolean may_have_run; /* an attempt of before may have, or has */
-  gboolean moving;       /* waits for its key's range */
-  gint64 not_before;     /* is not sent again before, us */
+  gboolean may_have_run; /* in an earlier attempt */
+  gboolean moving;       /* waits while its key range moves */
+  gint64 not_before;     /* earliest time of the next attempt, us */
   gint64 began;          /* us */
-  gint64 target_time;    /* of its route, us */
-  gint64 give_up;        /* when it is answered at the latest, us */
-  guint attempts_max;    /* upstreams it may reach */
-  guint attempts;        /* that it reached */
-  guint unreached;       /* upstreams that could not be reached */
+  gint64 target_time;    /* latency target of its route, us */
+  gint64 give_up;        /* deadline of its caller or route, us */
+  guint attempts_max;    /* limit of ATTEMPTS */
+  guint attempts;        /* attempts that reached an upstream */
+  guint unreached;       /* attempts without a connection */
   char *method;
   char *path;
   char *headers;
   GBytes *body;
   CcCallerInfo caller;
-  CcTarget *considered; /* the upstream that had no room for it */
-  CcTarget *target;     /* it is at, or was at last */
+  CcTarget *considered; /* the upstream without capacity for it */
+  CcTarget *target;     /* of the attempt in progress or the last one */
   GPtrArray *tried;     /* of CcTarget */
   CcHttpCall *call;
-  gint64 sent;           /* us */
-  gint64 served;         /* time at upstreams, in attempts that ended, us */
-  gint64 leaving;        /* at the last attempt, see CcEnd */
-  double work_share;     /* part of its time at the upstream that is work */
-  char *kind;            /* of its work */
-  CcTypicalWork typical; /* time that this takes, as of the last look */
+  gint64 sent;       /* start of the attempt, us */
+  gint64 served;     /* time at upstreams, in attempts that have ended, us */
+  gint64 leaving;    /* as of the last attempt, see CcEnd */
+  double work_share; /* share of its time at the upstream that is work */
+  char *kind;        /* of its work, for typical work times */
+  CcTypicalWork typical; /* typical time of that, as of the last update */
   CcTimer timer;
   CcExchangeDone done;
   gpointer data;
 };
 
-/* What forward.c uses of exchange.c. */
+/* Functions of exchange.c that forward.c uses. */
 void cc_exchange_free (CcExchange *e);
 double cc_exchange_inside (const CcExchange *e, const CcTarget *t, gint64 now);
 gint64 cc_exchange_left (const CcExchange *e, gint64 now);
