--- a/mailbox.c
+++ b/mailbox.c
@@ -1,18 +1,19 @@
-/* nng PUSH and PULL sockets: one PULL that all peers push to, one PUSH per
- * peer.  PUSH was chosen over nng's other patterns for what it does not do:
+/* Messaging over nng PUSH and PULL sockets: one PULL that all peers push to,
+ * one PUSH per peer.  PUSH is used because of the properties of nng's patterns:
  *
- *  - REQ sends a request again to another replier when the first is gone, so
+ *  - REQ sends a request again to another replier if the first disconnects, so
  *    work that must run at most once would run twice;
- *  - PAIR in its many-peers mode drops silently past two queued messages;
- *  - PUSH never sends a message twice, blocks when the peer is slow (here:
- *    CC_FULL, nothing sent), and tells by a pipe event when the peer is gone.
+ *  - PAIR in its many-peers mode silently drops messages when more than two
+ *    are queued;
+ *  - PUSH never sends a message twice, blocks if the peer is slow (here:
+ *    CC_FULL, nothing sent), and reports a lost peer by a pipe event.
  *
- * What PUSH does do: it keeps a message while no peer is there and hands it to
- * whoever comes later.  So a message names the incarnation it is meant for and
- * a time after which it is dropped; both are checked and counted here.
+ * PUSH keeps a message while no peer is connected and delivers it to whichever
+ * process connects next.  So a message carries the incarnation of its recipient
+ * and an expiry time; both are checked on receipt, and violations are counted.
  *
- * nng calls back on threads of its own.  They hand over through a locked queue
- * and wake the main loop once for many messages.
+ * nng runs callbacks on its own threads.  They pass messages on through a
+ * locked queue and wake the main loop once for many messages.
  */
 #include "mailbox.h"
 
@@ -29,9 +30,9 @@
 #include "metrics.h"
 #include "settings.h"
 
-#define LINK_QUEUE 512       /* messages; a burst of 50 ms at 10,000/s */
-#define RECONNECT_MIN_MS 20  /* a restarted peer is found at once */
-#define RECONNECT_MAX_MS 200 /* and a lost one costs 5 packets a second */
+#define LINK_QUEUE 512       /* messages; 50 ms at 10,000/s */
+#define RECONNECT_MIN_MS 20  /* reconnects to a restarted peer quickly */
+#define RECONNECT_MAX_MS 200 /* 5 packets a second to a lost peer */
 
 typedef struct
 {
@@ -39,57 +40,57 @@
   char *address;
   nng_socket socket;
   nng_dialer dialer;
-  gint pipe;     /* id of the connection, 0: none; set on nng's thread */
-  gint reported; /* what the main loop was told last */
+  gint pipe;          /* id of the connection, 0: none; set by nng's threads */
+  gint reported_pipe; /* value of PIPE that the main loop last handled */
   CcLinkHealth health;
-  guint64 peer; /* incarnation of the process that the link is to, if proven */
-  gint64 silent_since; /* it was given up for silence then, us; 0: it was not,
-                          or has proven itself since */
+  guint64 peer_incarnation; /* of the process at the other end, if proven */
+  gint64 silent_since; /* when the link was closed as silent, us; 0: it was not,
+                          or is proven since */
 } Link;
 
 struct CcMailbox
 {
-  char *address;       /* IP:PORT others reply to */
-  nng_sockaddr source; /* where outgoing connections come from */
+  char *address;       /* IP:PORT that peers reply to */
+  nng_sockaddr source; /* local address of outgoing connections */
   guint64 incarnation; /* of this process */
-  guint64 last_id;     /* ids count up and are never reused */
+  guint64 last_id;     /* last message id; ids are never reused */
   nng_socket pull;
-  nng_aio *aio;       /* the one receive in progress */
-  GHashTable *links;  /* address to Link */
-  GMutex lock;        /* guards the next four */
-  GQueue arrived;     /* of nng_msg, in order */
-  GQueue changed;     /* of Link whose state changed */
-  gboolean scheduled; /* the main loop will look */
-  guint waking;       /* source by which it will, if scheduled */
-  guint heartbeat;    /* timer */
+  nng_aio *aio;            /* the one receive in progress */
+  GHashTable *links;       /* address to Link */
+  GMutex lock;             /* guards the next four members */
+  GQueue received_queue;   /* of nng_msg, in order */
+  GQueue changed_links;    /* of Link whose state changed */
+  gboolean wake_scheduled; /* the main loop will process the queues */
+  guint wake_source;       /* id of the source for that */
+  guint heartbeat;         /* timer */
   CcMailboxReceive receive;
   CcMailboxLink link;
   gpointer data;
   CcCounter *received;
-  CcCounter *damaged; /* refused by the codec */
-  CcCounter *stale;   /* expired, or for an earlier incarnation */
-  CcCounter *refused; /* not sent: link full or down */
-  CcCounter *silent;  /* links closed because they swallowed pings */
+  CcCounter *malformed; /* rejected by the codec */
+  CcCounter *stale;     /* expired, or for another incarnation */
+  CcCounter *refused;   /* not sent: link full or down */
+  CcCounter *silent;    /* links closed because pings went unanswered */
 };
 
-static gboolean deliver (gpointer data);
+static gboolean process_queues (gpointer data);
 
-/* Called on nng's threads.  A source is attached in place of
- * g_main_context_invoke, which before the main loop runs would call deliver
- * here, on this thread and under the lock: a process that got a message while
- * starting then hung for good. */
+/* Schedules process_queues on the main loop.  Runs on nng's threads with the
+ * lock held.  It attaches a source, since g_main_context_invoke, before the
+ * main loop runs, would call process_queues on this thread under the lock: a
+ * process that received a message while starting would hang forever. */
 static void
 wake (CcMailbox *box)
 {
   GSource *source;
 
-  if (box->scheduled)
+  if (box->wake_scheduled)
     return;
-  box->scheduled = TRUE;
+  box->wake_scheduled = TRUE;
   source = g_idle_source_new ();
   g_source_set_priority (source, G_PRIORITY_DEFAULT);
-  g_source_set_callback (source, deliver, box, NULL);
-  box->waking = g_source_attach (source, NULL);
+  g_source_set_callback (source, process_queues, box, NULL);
+  box->wake_source = g_source_attach (source, NULL);
   g_source_unref (source);
 }
 
@@ -104,7 +105,7 @@
   if (nng_aio_result (box->aio) == 0)
     {
       g_mutex_lock (&box->lock);
-      g_queue_push_tail (&box->arrived, nng_aio_get_msg (box->aio));
+      g_queue_push_tail (&box->received_queue, nng_aio_get_msg (box->aio));
       wake (box);
       g_mutex_unlock (&box->lock);
     }
@@ -112,31 +113,31 @@
 }
 
 static void
-release_message (gpointer msg)
+message_free (gpointer msg)
 {
   nng_msg_free (msg);
 }
 
-static void take_ping (CcMailbox *box, const CcMessage *m);
+static void handle_ping (CcMailbox *box, const CcMessage *m);
 
 static void
-take_message (CcMailbox *box, nng_msg *msg)
+handle_message (CcMailbox *box, nng_msg *msg)
 {
   g_autoptr (GBytes) bytes = g_bytes_new_with_free_func (
-      nng_msg_body (msg), nng_msg_len (msg), release_message, msg);
+      nng_msg_body (msg), nng_msg_len (msg), message_free, msg);
   CcMessage m;
 
   ++*box->received;
   if (cc_wire_decode (bytes, &m) != CC_OK)
     {
-      ++*box->damaged;
+      ++*box->malformed;
       return;
     }
   if ((m.to != 0 && m.to != box->incarnation) ||
       (m.expires != 0 && m.expires < cc_clock_wall ()))
     ++*box->stale;
   else if (m.kind == CC_MSG_PING)
-    take_ping (box, &m);
+    handle_ping (box, &m);
   else
     box->receive (&m, box->data);
   cc_message_clear (&m);
@@ -155,7 +156,7 @@
 }
 
 static void
-look_at (Link *l, gint64 now)
+check_link (Link *l, gint64 now)
 {
   int id = g_atomic_int_get (&l->pipe);
 
@@ -171,34 +172,35 @@
       cc_log (CC_LOG_WARNING, "link", "%s is silent", l->address);
       cc_link_lost (&l->health);
       l->silent_since = now;
-      l->reported = 0;
+      l->reported_pipe = 0;
       nng_pipe_close ((nng_pipe){ .id = (uint32_t) id });
       l->box->link (l->address, FALSE, l->box->data);
       break;
     }
 }
 
-/* Tells of a connection that came or went.  One that was replaced between two
- * looks of the main loop was lost all the same, with what was sent on it. */
+/* Handles a connection that was made or lost since the last call.  One that was
+ * replaced in between counts as lost too, since messages sent on it may be
+ * lost. */
 static void
-tell_link (Link *l)
+update_link (Link *l)
 {
   gint id = g_atomic_int_get (&l->pipe);
   gint64 now = cc_clock_now ();
 
-  if (id == l->reported)
+  if (id == l->reported_pipe)
     return;
-  if (l->reported != 0)
+  if (l->reported_pipe != 0)
     {
       cc_link_lost (&l->health);
       l->silent_since = 0;
       l->box->link (l->address, FALSE, l->box->data);
     }
-  l->reported = id;
+  l->reported_pipe = id;
   if (id == 0)
     return;
   cc_link_connected (&l->health, now);
-  look_at (l, now);
+  check_link (l, now);
   l->box->link (l->address, TRUE, l->box->data);
 }
 
@@ -209,30 +211,30 @@
   GList *links = g_hash_table_get_values (box->links);
 
   for (GList *l = links; l != NULL; l = l->next)
-    look_at (l->data, cc_clock_now ());
+    check_link (l->data, cc_clock_now ());
   g_list_free (links);
   return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-deliver (gpointer data)
+process_queues (gpointer data)
 {
   CcMailbox *box = data;
-  GQueue arrived, changed;
+  GQueue received_queue, changed_links;
   nng_msg *msg;
   Link *l;
 
   g_mutex_lock (&box->lock);
-  arrived = box->arrived;
-  changed = box->changed;
-  g_queue_init (&box->arrived);
-  g_queue_init (&box->changed);
-  box->scheduled = FALSE;
+  received_queue = box->received_queue;
+  changed_links = box->changed_links;
+  g_queue_init (&box->received_queue);
+  g_queue_init (&box->changed_links);
+  box->wake_scheduled = FALSE;
   g_mutex_unlock (&box->lock);
-  while ((msg = g_queue_pop_head (&arrived)) != NULL)
-    take_message (box, msg);
-  while ((l = g_queue_pop_head (&changed)) != NULL)
-    tell_link (l);
+  while ((msg = g_queue_pop_head (&received_queue)) != NULL)
+    handle_message (box, msg);
+  while ((l = g_queue_pop_head (&changed_links)) != NULL)
+    update_link (l);
   return G_SOURCE_REMOVE;
 }
 
@@ -247,7 +249,7 @@
     g_atomic_int_set (&l->pipe, nng_pipe_id (pipe));
   else if (g_atomic_int_get (&l->pipe) == nng_pipe_id (pipe))
     g_atomic_int_set (&l->pipe, 0);
-  g_queue_push_tail (&l->box->changed, l);
+  g_queue_push_tail (&l->box->changed_links, l);
   wake (l->box);
   g_mutex_unlock (&l->box->lock);
 }
@@ -266,16 +268,16 @@
 init_counters (CcMailbox *box)
 {
   box->received = cc_metrics_counter ("capercrank_messages_received", "");
-  box->damaged = cc_metrics_counter ("capercrank_messages_damaged", "");
+  box->malformed = cc_metrics_counter ("capercrank_messages_damaged", "");
   box->stale = cc_metrics_counter ("capercrank_messages_stale", "");
   box->silent = cc_metrics_counter ("capercrank_links_silent", "");
   box->refused = cc_metrics_counter ("capercrank_messages_refused", "");
 }
 
-/* Outgoing connections come from the address that the process listens on, so
+/* Makes outgoing connections use the address that the process listens on, so
  * that peers and firewalls see an instance under one address. */
 static void
-set_source (CcMailbox *box, const char *listen)
+set_source_address (CcMailbox *box, const char *listen)
 {
   g_autofree char *ip = NULL;
   g_autoptr (GInetAddress) address = NULL;
@@ -289,7 +291,7 @@
 }
 
 static int
-listen_at (CcMailbox *box, const char *listen)
+start_listening (CcMailbox *box, const char *listen)
 {
   g_autofree char *url = g_strconcat ("tcp://", listen, NULL);
   int rv = nng_pull0_open (&box->pull);
@@ -328,8 +330,8 @@
   box->links = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, link_free);
   g_mutex_init (&box->lock);
   init_counters (box);
-  set_source (box, listen);
-  rv = listen_at (box, listen);
+  set_source_address (box, listen);
+  rv = start_listening (box, listen);
   if (rv == 0)
     {
       box->heartbeat =
@@ -372,32 +374,34 @@
   return l;
 }
 
-/* Starts connecting to ADDRESS (IP:PORT), so that later sends find it up. */
+/* Starts connecting to ADDRESS (IP:PORT), so that the link is up when messages
+ * are sent. */
 void
 cc_mailbox_connect (CcMailbox *box, const char *address)
 {
   find_link (box, address);
 }
 
-/* Whether the link to ADDRESS carries messages, as the last pings tell. */
+/* Whether the link to ADDRESS carries messages, according to the last pings. */
 gboolean
 cc_mailbox_is_up (CcMailbox *box, const char *address)
 {
   return find_link (box, address)->health.proven;
 }
 
-/* Since when the peer at ADDRESS has been silent without closing the link, us:
- * it may stand still and go on.  0: it is not silent, or is gone. */
+/* Returns the time since which the peer at ADDRESS has been silent without
+ * closing the link, us; such a peer may be paused and resume.  0: it is not
+ * silent, or has disconnected. */
 gint64
 cc_mailbox_silent_since (CcMailbox *box, const char *address)
 {
   return find_link (box, address)->silent_since;
 }
 
-/* Answers a ping, or takes the answer to one.  Answering opens a link to the
- * asker if there is none. */
+/* Answers a ping, or handles the answer to one.  Answering opens a link to the
+ * sender if there is none. */
 static void
-take_ping (CcMailbox *box, const CcMessage *m)
+handle_ping (CcMailbox *box, const CcMessage *m)
 {
   Link *l = find_link (box, m->reply_to);
   CcMessage answer = { .kind = CC_MSG_PING };
@@ -408,7 +412,7 @@
 
       cc_link_answered (&l->health, m->u.ping.sequence, cc_clock_now ());
       if (!proven && l->health.proven)
-        l->peer = m->from;
+        l->peer_incarnation = m->from;
       if (l->health.proven)
         l->silent_since = 0;
       return;
@@ -422,7 +426,7 @@
 }
 
 static gboolean
-waits_for_link (CcMessageKind kind)
+may_be_queued (CcMessageKind kind)
 {
   return kind != CC_MSG_REQUEST;
 }
@@ -444,23 +448,24 @@
   return CC_FULL;
 }
 
-/* Whether L leads to the process that M is for.  Another that started at its
- * address drops what was meant for the former. */
+/* Whether L is connected to the process that M is for.  A process restarted at
+ * the same address would drop M. */
 static gboolean
-leads_to (const Link *l, const CcMessage *m)
+reaches_recipient (const Link *l, const CcMessage *m)
 {
-  return l->health.proven && (m->to == 0 || m->to == l->peer);
+  return l->health.proven && (m->to == 0 || m->to == l->peer_incarnation);
 }
 
-/* Sends M, filling in its envelope except for `to`, `id` and `expires`.
- * CC_UNREACHABLE and CC_FULL both mean that nothing left the process.  Only a
- * request needs a link that is up: the others may wait for it a while. */
+/* Sends M to ADDRESS, filling in its envelope except for `to`, `id` and
+ * `expires`.  CC_UNREACHABLE and CC_FULL both mean that nothing was sent.  Only
+ * a request needs a link that is up; messages of other kinds are queued until
+ * it is. */
 CcStatus
 cc_mailbox_send (CcMailbox *box, const char *address, CcMessage *m)
 {
   Link *l = find_link (box, address);
 
-  if (!waits_for_link (m->kind) && !leads_to (l, m))
+  if (!may_be_queued (m->kind) && !reaches_recipient (l, m))
     {
       ++*box->refused;
       return CC_UNREACHABLE;
@@ -469,7 +474,7 @@
   return transmit (box, l, m);
 }
 
-/* An id that this process has not used before. */
+/* Returns a message id that this process has not used before. */
 guint64
 cc_mailbox_next_id (CcMailbox *box)
 {
@@ -485,10 +490,10 @@
   nng_aio_stop (box->aio);
   nng_aio_free (box->aio);
   g_hash_table_unref (box->links);
-  if (box->scheduled)
-    g_source_remove (box->waking);
-  g_queue_clear_full (&box->arrived, release_message);
-  g_queue_clear (&box->changed);
+  if (box->wake_scheduled)
+    g_source_remove (box->wake_source);
+  g_queue_clear_full (&box->received_queue, message_free);
+  g_queue_clear (&box->changed_links);
   g_mutex_clear (&box->lock);
   g_free (box->address);
   g_free (box);
--- a/mailbox.h
+++ b/mailbox.h
@@ -1,4 +1,4 @@
-/* Where a process receives messages from the others, and sends them. */
+/* Sends messages to other processes of the fleet and receives theirs. */
 #ifndef CC_MAILBOX_H
 #define CC_MAILBOX_H
 
