--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -1,4 +1,5 @@
-/* The codec refuses whatever is not a whole, well-formed message. */
+/* Guards against truncated or corrupt messages that the codec accepts with
+ * invalid contents or that make it read out of bounds. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,7 +12,7 @@
 #include "wire.h"
 
 static GBytes *
-sample (void)
+sample_request (void)
 {
   CcMessage m = { .kind = CC_MSG_REQUEST, .from = 7, .id = 9 };
   g_autoptr (GBytes) key = g_bytes_new_static ("castle-7", 8);
@@ -30,9 +31,9 @@
   return cc_wire_encode (&m);
 }
 
-/* Walks over the headers of a decoded request; returns how many. */
+/* Returns the number of headers of a decoded request, reading each. */
 static guint
-walk_headers (const CcMessage *m)
+count_headers (const CcMessage *m)
 {
   CcHeadersIter i;
   const char *name, *value;
@@ -47,7 +48,7 @@
 static void
 test_round_trip (void **state)
 {
-  g_autoptr (GBytes) bytes = sample ();
+  g_autoptr (GBytes) bytes = sample_request ();
   CcMessage m;
 
   assert_int_equal (cc_wire_decode (bytes, &m), CC_OK);
@@ -55,16 +56,16 @@
   assert_int_equal (m.id, 9);
   assert_string_equal (m.u.request.class_name, "browse");
   assert_int_equal (g_bytes_get_size (m.u.request.key), 8);
-  assert_int_equal (walk_headers (&m), 2);
+  assert_int_equal (count_headers (&m), 2);
   cc_message_clear (&m);
 }
 
-/* Every single byte damaged in three ways, and every shorter length: decoding
- * must end, and what it takes must be a message of a known kind. */
+/* Decodes the sample with each byte corrupted in three ways, and each shorter
+ * length: decoding must terminate and yield an error or a known kind. */
 static void
-test_damage (void **state)
+test_corruption (void **state)
 {
-  g_autoptr (GBytes) bytes = sample ();
+  g_autoptr (GBytes) bytes = sample_request ();
   gsize size;
   const guint8 *good = g_bytes_get_data (bytes, &size);
   static const guint8 flips[] = { 0x01, 0x80, 0xff };
@@ -81,7 +82,7 @@
         if (cc_wire_decode (wrapped, &m) == CC_OK)
           assert_in_range (m.kind, CC_MSG_SYNC, CC_MSG_RELAY);
         if (m.kind == CC_MSG_REQUEST)
-          assert_in_range (walk_headers (&m), 0, 12);
+          assert_in_range (count_headers (&m), 0, 12);
         cc_message_clear (&m);
       }
   for (gsize i = 0; i < size; i++)
@@ -98,7 +99,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = { cmocka_unit_test (test_round_trip),
-                                      cmocka_unit_test (test_damage) };
+                                      cmocka_unit_test (test_corruption) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/wire.c
+++ b/wire.c
@@ -1,7 +1,7 @@
-/* Messages are GVariants in little-endian normal form: an envelope and a
- * payload whose type the kind tells.  A message that is too large, not in
- * normal form, of another version or of an unexpected type is refused whole:
- * a damaged length must not reach the code behind. */
+/* Codec for messages, which are GVariants in little-endian normal form: an
+ * envelope and a payload whose type follows from the kind.  A message that is
+ * too large, not in normal form, of another version or of an unexpected type is
+ * rejected as a whole, so that a corrupt length cannot reach its consumers. */
 #include "wire.h"
 
 #define ENVELOPE "(yytttxsv)"
@@ -25,7 +25,7 @@
 };
 
 static GVariant *
-bytes_variant (GBytes *bytes)
+variant_from_bytes (GBytes *bytes)
 {
   if (bytes == NULL)
     return g_variant_new_array (G_VARIANT_TYPE_BYTE, NULL, 0);
@@ -33,7 +33,7 @@
 }
 
 static GVariant *
-or_empty (GVariant *v, const char *type)
+array_or_empty (GVariant *v, const char *type)
 {
   if (v != NULL)
     return v;
@@ -42,7 +42,7 @@
 }
 
 static const char *
-text (const char *s)
+string_or_empty (const char *s)
 {
   return s != NULL ? s : "";
 }
@@ -50,36 +50,39 @@
 static GVariant *
 encode_request (const CcMsgRequest *r)
 {
-  return g_variant_new ("(sssssxt@ay@ay@ay)", text (r->class_name),
-                        text (r->tenant), text (r->idempotency),
-                        text (r->method), text (r->path), r->deadline, r->epoch,
-                        bytes_variant (r->key), or_empty (r->headers, "ay"),
-                        bytes_variant (r->body));
+  return g_variant_new (
+      "(sssssxt@ay@ay@ay)", string_or_empty (r->class_name),
+      string_or_empty (r->tenant), string_or_empty (r->idempotency),
+      string_or_empty (r->method), string_or_empty (r->path), r->deadline,
+      r->epoch, variant_from_bytes (r->key), array_or_empty (r->headers, "ay"),
+      variant_from_bytes (r->body));
 }
 
 static GVariant *
 encode_reply (const CcMsgReply *r)
 {
   return g_variant_new ("(ybsuu@ay@ay)", (guchar) r->outcome, r->reroute,
-                        text (r->reason), r->retry_after, r->status,
-                        or_empty (r->headers, "ay"), bytes_variant (r->body));
+                        string_or_empty (r->reason), r->retry_after, r->status,
+                        array_or_empty (r->headers, "ay"),
+                        variant_from_bytes (r->body));
 }
 
 static GVariant *
 encode_report (const CcMsgReport *r)
 {
-  return g_variant_new ("(ssstuuu@a(ud)@a(tud))", text (r->instance),
-                        text (r->pool), text (r->server), r->applied, r->state,
-                        r->running, r->queued, or_empty (r->loads, "a(ud)"),
-                        or_empty (r->hot, "a(tud)"));
+  return g_variant_new ("(ssstuuu@a(ud)@a(tud))", string_or_empty (r->instance),
+                        string_or_empty (r->pool), string_or_empty (r->server),
+                        r->applied, r->state, r->running, r->queued,
+                        array_or_empty (r->loads, "a(ud)"),
+                        array_or_empty (r->hot, "a(tud)"));
 }
 
 static GVariant *
 encode_outcomes (const CcMsgOutcomes *o)
 {
-  return g_variant_new ("(suttxub@a(syuayay))", text (o->pool), o->slice,
-                        o->epoch, o->term, o->horizon, o->index, o->last,
-                        or_empty (o->entries, "a(syuayay)"));
+  return g_variant_new ("(suttxub@a(syuayay))", string_or_empty (o->pool),
+                        o->slice, o->epoch, o->term, o->horizon, o->index,
+                        o->last, array_or_empty (o->entries, "a(syuayay)"));
 }
 
 static GVariant *
@@ -91,7 +94,7 @@
       return g_variant_new (TYPE_SYNC, m->u.sync.upto);
     case CC_MSG_ROWS:
       return g_variant_new ("(tt@a(sts))", m->u.rows.since, m->u.rows.upto,
-                            or_empty (m->u.rows.rows, "a(sts)"));
+                            array_or_empty (m->u.rows.rows, "a(sts)"));
     case CC_MSG_REQUEST:
       return encode_request (&m->u.request);
     case CC_MSG_REPLY:
@@ -104,30 +107,31 @@
       return encode_outcomes (&m->u.outcomes);
     case CC_MSG_VOTE:
       return g_variant_new (TYPE_VOTE, m->u.vote.what,
-                            text (m->u.vote.instance), m->u.vote.term,
-                            m->u.vote.ballot);
+                            string_or_empty (m->u.vote.instance),
+                            m->u.vote.term, m->u.vote.ballot);
     case CC_MSG_RELAY:
       return g_variant_new (TYPE_RELAY, m->u.relay.answer, m->u.relay.status,
-                            text (m->u.relay.body));
+                            string_or_empty (m->u.relay.body));
     case CC_MSG_PING:
       return g_variant_new (TYPE_PING, m->u.ping.answer, m->u.ping.sequence);
     }
   g_assert_not_reached ();
 }
 
-/* The bytes of M, to be sent as one message.  The caller unrefs them. */
+/* Returns the encoding of M, to be sent as one message; the caller unrefs it.
+ */
 GBytes *
 cc_wire_encode (const CcMessage *m)
 {
   g_autoptr (GVariant) v = g_variant_ref_sink (g_variant_new (
       ENVELOPE, CC_WIRE_VERSION, (guchar) m->kind, m->from, m->to, m->id,
-      m->expires, text (m->reply_to), encode_payload (m)));
+      m->expires, string_or_empty (m->reply_to), encode_payload (m)));
 
   return g_variant_get_data_as_bytes (v);
 }
 
 static GBytes *
-take_bytes (GVariant *v)
+bytes_from_variant (GVariant *v)
 {
   GBytes *bytes = g_variant_get_data_as_bytes (v);
 
@@ -143,8 +147,8 @@
   g_variant_get (v, "(&s&s&s&s&sxt@ay@ay@ay)", &r->class_name, &r->tenant,
                  &r->idempotency, &r->method, &r->path, &r->deadline, &r->epoch,
                  &key, &r->headers, &body);
-  r->key = take_bytes (key);
-  r->body = take_bytes (body);
+  r->key = bytes_from_variant (key);
+  r->body = bytes_from_variant (body);
 }
 
 static gboolean
@@ -156,7 +160,7 @@
   g_variant_get (v, "(yb&suu@ay@ay)", &outcome, &r->reroute, &r->reason,
                  &r->retry_after, &r->status, &r->headers, &body);
   r->outcome = (CcOutcome) outcome;
-  r->body = take_bytes (body);
+  r->body = bytes_from_variant (body);
   return outcome <= CC_OUTCOME_UNKNOWN;
 }
 
@@ -223,7 +227,7 @@
   return decode_payload (payload, m) ? CC_OK : CC_INVALID;
 }
 
-/* Reads BYTES into M, whose strings stay valid until cc_message_clear.
+/* Decodes BYTES into M, whose strings stay valid until cc_message_clear.
  * Returns CC_INVALID, with M empty, for anything but a well-formed message. */
 CcStatus
 cc_wire_decode (GBytes *bytes, CcMessage *m)
@@ -240,7 +244,7 @@
   return CC_INVALID;
 }
 
-/* Frees what a decoded M holds and empties it. */
+/* Frees the contents of a decoded M and clears it. */
 void
 cc_message_clear (CcMessage *m)
 {
--- a/wire.h
+++ b/wire.h
@@ -1,4 +1,4 @@
-/* The messages between capercrank's own processes, and their codec. */
+/* The messages between capercrank's processes and their codec. */
 #ifndef CC_WIRE_H
 #define CC_WIRE_H
 
@@ -11,28 +11,28 @@
 
 typedef enum
 {
-  CC_MSG_SYNC = 1, /* "I hold rows up to this version; send what is newer" */
-  CC_MSG_ROWS,     /* rows of the view, in answer to SYNC or unasked */
+  CC_MSG_SYNC = 1, /* request for rows newer than a version */
+  CC_MSG_ROWS,     /* rows of the view, in reply to SYNC or pushed */
   CC_MSG_REQUEST,  /* entry to dispatcher: a caller's request */
   CC_MSG_REPLY,    /* dispatcher to entry: its outcome */
-  CC_MSG_CANCEL,   /* entry to dispatcher: the caller went away */
+  CC_MSG_CANCEL,   /* entry to dispatcher: the caller disconnected */
   CC_MSG_REPORT,   /* dispatcher to assigner: state of one server */
-  CC_MSG_OUTCOMES, /* dispatcher to dispatcher: memory of a moved slice */
+  CC_MSG_OUTCOMES, /* dispatcher to dispatcher: records of a moved slice */
   CC_MSG_VOTE,     /* lease promises, see promise.h */
-  CC_MSG_RELAY,    /* a table write done for a peer cut off from the platform */
-  CC_MSG_PING      /* is the link alive? and the answer, see link_health.h */
+  CC_MSG_RELAY, /* table write on behalf of a peer cut off from the platform */
+  CC_MSG_PING   /* link check and its answer, see link_health.h */
 } CcMessageKind;
 
 typedef struct
 {
-  guint64 upto; /* version of the table the sender is complete up to */
+  guint64 upto; /* the sender has all rows up to this table version */
 } CcMsgSync;
 
 typedef struct
 {
-  guint64 since; /* complete only for who holds rows up to here */
-  guint64 upto;
-  GVariant *rows; /* a(sts): key, version, value; "" is a deleted row */
+  guint64 since;  /* for receivers that have all rows up to this version */
+  guint64 upto;   /* receivers then have all rows up to this version */
+  GVariant *rows; /* a(sts): key, version, value ("": deleted) */
 } CcMsgRows;
 
 typedef struct
@@ -52,8 +52,8 @@
 typedef struct
 {
   CcOutcome outcome;
-  gboolean reroute;    /* not run here: ask the owner in a newer map */
-  const char *reason;  /* one word for the answer's header */
+  gboolean reroute;    /* not run here: retry at the owner in a newer map */
+  const char *reason;  /* one word, for a header of the answer */
   guint32 retry_after; /* ms; with not-run */
   guint32 status;      /* HTTP status of the server's answer; 0 if none */
   GVariant *headers;   /* packed, see headers.h */
@@ -62,7 +62,7 @@
 
 typedef struct
 {
-  guint64 request; /* id of the request no longer wanted */
+  guint64 request; /* id of the request to cancel */
 } CcMsgCancel;
 
 typedef struct
@@ -70,11 +70,11 @@
   const char *instance; /* the dispatcher */
   const char *pool;
   const char *server;
-  guint64 applied; /* all that this map version ended here has stopped */
+  guint64 applied; /* all work that this map version moved away has stopped */
   guint32 state;   /* CcServerHealth */
   guint32 running; /* requests in the server */
   guint32 queued;  /* requests waiting */
-  GVariant *loads; /* a(ud): unit, slots it keeps busy */
+  GVariant *loads; /* a(ud): unit, slots that it occupies */
   GVariant *hot;   /* a(tud): key hash, its unit, slots */
 } CcMsgReport;
 
@@ -82,11 +82,11 @@
 {
   const char *pool;
   guint32 slice;
-  guint64 epoch;     /* of the slice in the hold that this is for */
+  guint64 epoch;     /* of the slice in the receiver's hold */
   guint64 term;      /* of the server in that hold */
-  gint64 horizon;    /* wall clock, us: older keys are not remembered */
+  gint64 horizon;    /* wall clock, us: there are no records of older keys */
   guint32 index;     /* of this chunk, from 0 */
-  gboolean last;     /* the memory of the slice is complete with this */
+  gboolean last;     /* the last chunk of the slice */
   GVariant *entries; /* a(syuayay): key, outcome, status, headers, body */
 } CcMsgOutcomes;
 
@@ -95,30 +95,30 @@
   guint32 what;         /* CcVoteKind of promise.h */
   const char *instance; /* whose lease */
   guint64 term;         /* of that lease */
-  guint64 ballot;       /* matches an answer to its question */
+  guint64 ballot;       /* matches a reply to its request */
 } CcMsgVote;
 
 typedef struct
 {
-  gboolean answer;  /* FALSE: please write; TRUE: this came of it */
+  gboolean answer;  /* FALSE: request to write; TRUE: its result */
   guint32 status;   /* HTTP status of the platform; 0: not reached */
-  const char *body; /* the transaction, or its answer, JSON */
+  const char *body; /* the transaction or the platform's response, JSON */
 } CcMsgRelay;
 
 typedef struct
 {
   gboolean answer;
-  guint64 sequence; /* counts the asker's pings on the link */
+  guint64 sequence; /* number of the ping on the link, counted by its sender */
 } CcMsgPing;
 
-/* A typed message.  from, to, id, expires and reply_to are its envelope. */
+/* A message.  from, to, id, expires and reply_to form its envelope. */
 typedef struct
 {
   CcMessageKind kind;
   guint64 from;         /* sender's incarnation */
-  guint64 to;           /* receiver's incarnation it is meant for; 0: any */
+  guint64 to;           /* incarnation of the recipient; 0: any */
   guint64 id;           /* never reused by a sender within its incarnation */
-  gint64 expires;       /* wall clock, us; dropped after; 0: never */
+  gint64 expires;       /* wall clock, us: dropped afterwards; 0: never */
   const char *reply_to; /* the sender's address, IP:PORT */
   union
   {
