--- a/job.c
+++ b/job.c
@@ -1,6 +1,6 @@
-/* Jobs own copies of what they need of the message that brought them.  A job
- * may answer several waiters: a caller that repeats a once-only request while
- * the first attempt is under way gets that attempt's outcome. */
+/* A job owns copies of the parts of its message that it needs.  It may answer
+ * several waiters: a caller that repeats a once-only request while the first
+ * attempt is in progress receives that attempt's outcome. */
 #include "job.h"
 
 #include "clock.h"
@@ -14,7 +14,7 @@
   g_free (w);
 }
 
-/* A job for the request in M. */
+/* Returns a job for the request in M, for SLICE of POOL. */
 CcJob *
 cc_job_new (const CcMessage *m, const char *pool, gboolean once_only,
             guint slice)
@@ -39,7 +39,7 @@
   return j;
 }
 
-/* The request in M gets J's answer, too. */
+/* Makes J's answer go to the request in M as well. */
 void
 cc_job_add_waiter (CcJob *j, const CcMessage *m)
 {
@@ -51,7 +51,8 @@
   g_ptr_array_add (j->waiters, w);
 }
 
-/* A waiter went away.  Returns TRUE if it was J's and nobody waits any more. */
+/* Removes request ID of entry INCARNATION from J's waiters.  Returns TRUE if it
+ * was the last one. */
 gboolean
 cc_job_drop_waiter (CcJob *j, guint64 incarnation, guint64 id)
 {
@@ -67,7 +68,7 @@
   return FALSE;
 }
 
-/* Sends R to the request ID of the entry at TO. */
+/* Sends R as the reply to request ID of the entry INCARNATION at address TO. */
 void
 cc_reply_send (CcMailbox *box, const char *to, guint64 incarnation, guint64 id,
                const CcMsgReply *r)
@@ -83,21 +84,21 @@
 
 /* Sends R to all of J's waiters and ends the job.
  *
- * Failure: an attempt of idempotent work is lost after the server ran it, the
- * job waits for another and is refused.  Symptom: its caller is told "not-run"
- * of work that ran. */
+ * Not-run becomes unknown if an earlier attempt may have run: the server may
+ * have run an idempotent attempt whose answer was lost before the job was
+ * queued again and rejected. */
 void
 cc_job_answer (CcJob *j, CcMailbox *box, const CcMsgReply *r)
 {
-  CcMsgReply told = *r;
+  CcMsgReply reply = *r;
 
-  if (j->may_have_run && told.outcome == CC_OUTCOME_NOT_RUN)
-    told.outcome = CC_OUTCOME_UNKNOWN;
+  if (j->may_have_run && reply.outcome == CC_OUTCOME_NOT_RUN)
+    reply.outcome = CC_OUTCOME_UNKNOWN;
   for (guint i = 0; i < j->waiters->len; i++)
     {
       const CcWaiter *w = j->waiters->pdata[i];
 
-      cc_reply_send (box, w->reply_to, w->incarnation, w->id, &told);
+      cc_reply_send (box, w->reply_to, w->incarnation, w->id, &reply);
     }
   g_ptr_array_set_size (j->waiters, 0);
   j->state = CC_JOB_ENDED;
--- a/job.h
+++ b/job.h
@@ -10,12 +10,12 @@
 
 typedef enum
 {
-  CC_JOB_QUEUED, /* waits for the server */
+  CC_JOB_QUEUED, /* in the server's queue */
   CC_JOB_SENT,   /* an attempt is at the server */
-  CC_JOB_ENDED   /* all waiters have their answer */
+  CC_JOB_ENDED   /* all waiters have been answered */
 } CcJobState;
 
-/* An entry's request that this job answers. */
+/* A request of an entry that awaits the answer of a job. */
 typedef struct
 {
   char *reply_to;
@@ -26,10 +26,10 @@
 typedef struct
 {
   CcJobState state;
-  GPtrArray *waiters; /* of CcWaiter: the first, and repeats that joined it */
+  GPtrArray *waiters; /* of CcWaiter: the first request and its repeats */
   char *class_name;
   gboolean once_only;
-  gboolean may_have_run; /* an attempt was lost, and the job waits again */
+  gboolean may_have_run; /* an attempt was lost and the job is queued again */
   char *tenant;
   char *idempotency; /* "" if none */
   char *method;
@@ -40,11 +40,11 @@
   guint slice;
   gint64 deadline; /* wall clock, us */
   gint64 arrived;  /* us */
-  gint64 sent;     /* when the attempt left, us */
+  gint64 sent;     /* start of the last attempt, us */
   CcTimer timer;   /* fires at the deadline */
   CcHolding *holding;
   CcAttempt *attempt; /* in state SENT */
-  gpointer owner;     /* of the timer's and attempt's callbacks */
+  gpointer owner;     /* data for the callbacks of TIMER and ATTEMPT */
   CcWaiting waiting;  /* its place in the queue */
 } CcJob;
 
