--- a/test/test_upstream.c
+++ b/test/test_upstream.c
@@ -1,5 +1,6 @@
-/* Traps of the HTTP client that break "at most once" or the body quietly, each
- * against a raw server that counts what it receives, byte for byte. */
+/* Guards against defaults of the HTTP client that silently run work twice or
+ * alter a response: retries, redirects and decoding.  A raw server counts what
+ * it receives. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,12 +16,12 @@
 
 #define WAIT_MS 2000
 
-/* What the raw server does with a request, told by its path. */
-#define PATH_PLAIN "/plain"       /* answers, keeps the connection */
-#define PATH_DROP "/drop"         /* closes after it has read all */
+/* Paths by which a request selects the server's behaviour. */
+#define PATH_PLAIN "/plain"       /* 200, keeps the connection */
+#define PATH_DROP "/drop"         /* closes after reading the request */
 #define PATH_REDIRECT "/redirect" /* 302 to /elsewhere */
-#define PATH_ENCODED "/encoded"   /* a body that claims to be gzip, and isn't */
-#define PATH_HANG "/hang"         /* reads on until the client closes */
+#define PATH_ENCODED "/encoded"   /* an invalid gzip body */
+#define PATH_HANG "/hang"         /* reads until the client closes */
 
 static const char encoded_body[] = "not really gzip \x1f\x8b";
 
@@ -30,18 +31,18 @@
   char *address;
   gint plain, drop, redirect, elsewhere, hang; /* requests received, atomic */
   gint closed; /* connections that the client closed while /hang, atomic */
-} Raw;
+} RawServer;
 
-static Raw raw;
+static RawServer server;
 
-/* Reads one request without more than its length.  Returns its path, or NULL at
- * the end of the connection. */
+/* Reads exactly one request.  Returns its path, or NULL at the end of the
+ * connection. */
 static char *
 read_request (GInputStream *in)
 {
   GString *head = g_string_new (NULL);
   char c;
-  gsize length = 0, got;
+  gsize length = 0, received;
   char *found;
   char **words;
   char *path;
@@ -62,7 +63,7 @@
     {
       g_autofree char *body = g_malloc (length);
 
-      g_input_stream_read_all (in, body, length, &got, NULL, NULL);
+      g_input_stream_read_all (in, body, length, &received, NULL, NULL);
     }
   words = g_strsplit (head->str, " ", 3);
   path = g_strdup (words[1]);
@@ -72,12 +73,12 @@
 }
 
 static void
-say (GOutputStream *out, const char *text)
+write_text (GOutputStream *out, const char *text)
 {
   g_output_stream_write_all (out, text, strlen (text), NULL, NULL, NULL);
 }
 
-/* Returns whether the connection is kept. */
+/* Answers the request for PATH.  Returns whether the connection is kept. */
 static gboolean
 serve (const char *path, GInputStream *in, GOutputStream *out)
 {
@@ -85,21 +86,21 @@
 
   if (g_str_equal (path, PATH_DROP))
     {
-      g_atomic_int_inc (&raw.drop);
+      g_atomic_int_inc (&server.drop);
       return FALSE;
     }
   if (g_str_equal (path, PATH_HANG))
     {
-      g_atomic_int_inc (&raw.hang);
+      g_atomic_int_inc (&server.hang);
       if (g_input_stream_read (in, &c, 1, NULL, NULL) <= 0)
-        g_atomic_int_inc (&raw.closed);
+        g_atomic_int_inc (&server.closed);
       return FALSE;
     }
   if (g_str_equal (path, PATH_REDIRECT))
     {
-      g_atomic_int_inc (&raw.redirect);
-      say (out, "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\n"
-                "Content-Length: 0\r\n\r\n");
+      g_atomic_int_inc (&server.redirect);
+      write_text (out, "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\n"
+                       "Content-Length: 0\r\n\r\n");
       return TRUE;
     }
   if (g_str_equal (path, PATH_ENCODED))
@@ -109,12 +110,12 @@
                            "Content-Length: %zu\r\n\r\n%s",
                            strlen (encoded_body), encoded_body);
 
-      say (out, text);
+      write_text (out, text);
       return TRUE;
     }
-  g_atomic_int_inc (g_str_equal (path, PATH_PLAIN) ? &raw.plain
-                                                   : &raw.elsewhere);
-  say (out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  g_atomic_int_inc (g_str_equal (path, PATH_PLAIN) ? &server.plain
+                                                   : &server.elsewhere);
+  write_text (out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   return TRUE;
 }
 
@@ -149,15 +150,15 @@
 }
 
 static int
-start_raw (void **state)
+start_server (void **state)
 {
   guint16 port;
 
   (void) state;
-  raw.listener = g_socket_listener_new ();
-  port = g_socket_listener_add_any_inet_port (raw.listener, NULL, NULL);
-  raw.address = g_strdup_printf ("127.0.0.1:%u", port);
-  g_thread_unref (g_thread_new ("listener", run_listener, raw.listener));
+  server.listener = g_socket_listener_new ();
+  port = g_socket_listener_add_any_inet_port (server.listener, NULL, NULL);
+  server.address = g_strdup_printf ("127.0.0.1:%u", port);
+  g_thread_unref (g_thread_new ("listener", run_listener, server.listener));
   return 0;
 }
 
@@ -167,13 +168,13 @@
   CcAttemptEnd end;
   guint status;
   GBytes *body;
-  gboolean encoded; /* a Content-Encoding header came through */
-} Got;
+  gboolean encoded; /* a Content-Encoding header was forwarded */
+} Answer;
 
 static void
 on_done (const CcAttemptResult *r, gpointer data)
 {
-  Got *g = data;
+  Answer *g = data;
   CcHeadersIter iter;
   const char *name, *value;
 
@@ -196,7 +197,7 @@
 }
 
 static void
-turn_until (const gboolean *done)
+run_until (const gboolean *done)
 {
   gboolean late = FALSE;
   guint timer = g_timeout_add (WAIT_MS, on_timeout, &late);
@@ -208,135 +209,145 @@
 }
 
 static CcAttempt *
-send_order (CcUpstream *u, const char *method, const char *path,
-            gboolean once_only, Got *got)
+send_request (CcUpstream *upstream, const char *method, const char *path,
+              gboolean once_only, Answer *received)
 {
   g_autoptr (GVariant) headers = cc_headers_take (g_string_new (NULL));
   g_autoptr (GBytes) body = g_bytes_new_static ("12345", 5);
-  CcUpstreamRequest o = { .address = raw.address,
-                          .method = method,
-                          .path = path,
-                          .headers = headers,
-                          .body = g_str_equal (method, "GET") ? NULL : body,
-                          .deadline = cc_clock_wall () + CC_SECOND,
-                          .run_id = "run-1",
-                          .once_only = once_only };
-
-  *got = (Got){ 0 };
-  return cc_upstream_send (u, &o, on_done, got);
+  CcUpstreamRequest request = { .address = server.address,
+                                .method = method,
+                                .path = path,
+                                .headers = headers,
+                                .body =
+                                    g_str_equal (method, "GET") ? NULL : body,
+                                .deadline = cc_clock_wall () + CC_SECOND,
+                                .run_id = "run-1",
+                                .once_only = once_only };
+
+  *received = (Answer){ 0 };
+  return cc_upstream_send (upstream, &request, on_done, received);
 }
 
-static Got
-order (CcUpstream *u, const char *method, const char *path, gboolean once_only)
+static Answer
+send_and_wait (CcUpstream *upstream, const char *method, const char *path,
+               gboolean once_only)
 {
-  Got got;
+  Answer received;
 
-  send_order (u, method, path, once_only, &got);
-  turn_until (&got.done);
-  assert_true (got.done);
-  g_clear_pointer (&got.body, g_bytes_unref);
-  return got;
+  send_request (upstream, method, path, once_only, &received);
+  run_until (&received.done);
+  assert_true (received.done);
+  g_clear_pointer (&received.body, g_bytes_unref);
+  return received;
 }
 
-/* The caller sees one outcome, "unknown"; the server must have received one
- * request.  A kept connection is there, the server closes after receipt, and
- * libsoup sends GET, PUT and DELETE again by itself: the last line shows it. */
+/* Guards against a once-only request that the server receives twice: libsoup
+ * retries GET, PUT and DELETE if the server closes a reused connection after
+ * receipt, as the last assertion shows. */
 static void
 once_only_is_sent_once (void **state)
 {
   static const char *const methods[] = { "PUT", "DELETE", "GET", "POST" };
-  CcUpstream *u = cc_upstream_new ("127.0.0.1:1");
+  CcUpstream *upstream = cc_upstream_new ("127.0.0.1:1");
 
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (methods); i++)
     {
-      assert_int_equal (order (u, "GET", PATH_PLAIN, FALSE).status, 200);
-      raw.drop = 0;
-      assert_int_equal (order (u, methods[i], PATH_DROP, TRUE).end,
-                        CC_ATTEMPT_LOST);
-      assert_int_equal (g_atomic_int_get (&raw.drop), 1);
+      assert_int_equal (
+          send_and_wait (upstream, "GET", PATH_PLAIN, FALSE).status, 200);
+      server.drop = 0;
+      assert_int_equal (
+          send_and_wait (upstream, methods[i], PATH_DROP, TRUE).end,
+          CC_ATTEMPT_LOST);
+      assert_int_equal (g_atomic_int_get (&server.drop), 1);
     }
-  assert_int_equal (order (u, "GET", PATH_PLAIN, FALSE).status, 200);
-  raw.drop = 0;
-  order (u, "PUT", PATH_DROP, FALSE);
-  assert_true (g_atomic_int_get (&raw.drop) > 1);
+  assert_int_equal (send_and_wait (upstream, "GET", PATH_PLAIN, FALSE).status,
+                    200);
+  server.drop = 0;
+  send_and_wait (upstream, "PUT", PATH_DROP, FALSE);
+  assert_true (g_atomic_int_get (&server.drop) > 1);
 }
 
-/* A followed redirect would run the work at a place that no grant covers. */
+/* Guards against followed redirects, which would run work that no grant covers.
+ */
 static void
 redirects_pass_through (void **state)
 {
-  CcUpstream *u = cc_upstream_new ("127.0.0.1:1");
+  CcUpstream *upstream = cc_upstream_new ("127.0.0.1:1");
 
   (void) state;
-  assert_int_equal (order (u, "GET", PATH_REDIRECT, FALSE).status, 302);
-  assert_int_equal (order (u, "POST", PATH_REDIRECT, TRUE).status, 302);
-  assert_int_equal (g_atomic_int_get (&raw.redirect), 2);
-  assert_int_equal (g_atomic_int_get (&raw.elsewhere), 0);
+  assert_int_equal (
+      send_and_wait (upstream, "GET", PATH_REDIRECT, FALSE).status, 302);
+  assert_int_equal (
+      send_and_wait (upstream, "POST", PATH_REDIRECT, TRUE).status, 302);
+  assert_int_equal (g_atomic_int_get (&server.redirect), 2);
+  assert_int_equal (g_atomic_int_get (&server.elsewhere), 0);
 }
 
-/* A decoded body would reach the caller under headers that describe another
- * one; here decoding would fail as well, as the body is not gzip. */
+/* Guards against decoded bodies, which would not match the headers forwarded
+ * with them.  Decoding would fail here too, as the body is not gzip. */
 static void
 encoded_bodies_pass_unchanged (void **state)
 {
-  CcUpstream *u = cc_upstream_new ("127.0.0.1:1");
-  Got got;
+  CcUpstream *upstream = cc_upstream_new ("127.0.0.1:1");
+  Answer received;
 
   (void) state;
-  send_order (u, "GET", PATH_ENCODED, FALSE, &got);
-  turn_until (&got.done);
-  assert_int_equal (got.end, CC_ATTEMPT_ANSWERED);
-  assert_true (got.encoded);
-  assert_int_equal (g_bytes_get_size (got.body), strlen (encoded_body));
-  assert_memory_equal (g_bytes_get_data (got.body, NULL), encoded_body,
+  send_request (upstream, "GET", PATH_ENCODED, FALSE, &received);
+  run_until (&received.done);
+  assert_int_equal (received.end, CC_ATTEMPT_ANSWERED);
+  assert_true (received.encoded);
+  assert_int_equal (g_bytes_get_size (received.body), strlen (encoded_body));
+  assert_memory_equal (g_bytes_get_data (received.body, NULL), encoded_body,
                        strlen (encoded_body));
-  g_bytes_unref (got.body);
+  g_bytes_unref (received.body);
 }
 
-/* A caller went away: the server learns it by the closing of the connection,
- * also of a once-only attempt's. */
+/* Guards against a cancelled attempt, once-only or not, whose connection stays
+ * open, so that the server does not detect the cancellation. */
 static void
 cancelling_closes (void **state)
 {
-  CcUpstream *u = cc_upstream_new ("127.0.0.1:1");
+  CcUpstream *upstream = cc_upstream_new ("127.0.0.1:1");
 
   (void) state;
   for (guint once = 0; once < 2; once++)
     {
-      Got got;
-      CcAttempt *a = send_order (u, "GET", PATH_HANG, once != 0, &got);
+      Answer received;
+      CcAttempt *a =
+          send_request (upstream, "GET", PATH_HANG, once != 0, &received);
 
-      raw.hang = raw.closed = 0;
-      for (guint i = 0; i < 200 && g_atomic_int_get (&raw.hang) == 0; i++)
+      server.hang = server.closed = 0;
+      for (guint i = 0; i < 200 && g_atomic_int_get (&server.hang) == 0; i++)
         {
           g_main_context_iteration (NULL, FALSE);
           g_usleep (5000);
         }
       cc_attempt_cancel (a);
-      turn_until (&got.done);
-      assert_int_equal (got.end, CC_ATTEMPT_LOST);
-      for (guint i = 0; i < 200 && g_atomic_int_get (&raw.closed) == 0; i++)
+      run_until (&received.done);
+      assert_int_equal (received.end, CC_ATTEMPT_LOST);
+      for (guint i = 0; i < 200 && g_atomic_int_get (&server.closed) == 0; i++)
         {
           g_main_context_iteration (NULL, FALSE);
           g_usleep (5000);
         }
-      assert_int_equal (g_atomic_int_get (&raw.closed), 1);
+      assert_int_equal (g_atomic_int_get (&server.closed), 1);
     }
 }
 
-/* Nothing listens: nothing can have left. */
+/* Guards against outcome unknown when the connection was refused. */
 static void
 refused_is_unsent (void **state)
 {
-  CcUpstream *u = cc_upstream_new ("127.0.0.1:1");
-  g_autofree char *kept = raw.address;
+  CcUpstream *upstream = cc_upstream_new ("127.0.0.1:1");
+  g_autofree char *kept = server.address;
 
   (void) state;
-  raw.address = g_strdup ("127.0.0.1:1");
-  assert_int_equal (order (u, "POST", PATH_PLAIN, TRUE).end, CC_ATTEMPT_UNSENT);
-  g_free (raw.address);
-  raw.address = g_steal_pointer (&kept);
+  server.address = g_strdup ("127.0.0.1:1");
+  assert_int_equal (send_and_wait (upstream, "POST", PATH_PLAIN, TRUE).end,
+                    CC_ATTEMPT_UNSENT);
+  g_free (server.address);
+  server.address = g_steal_pointer (&kept);
 }
 
 int
@@ -350,5 +361,5 @@
     cmocka_unit_test (refused_is_unsent),
   };
 
-  return cmocka_run_group_tests (tests, start_raw, NULL);
+  return cmocka_run_group_tests (tests, start_server, NULL);
 }
--- a/upstream.c
+++ b/upstream.c
@@ -1,16 +1,16 @@
-/* The client of the servers.
+/* HTTP client for the servers.
  *
- * libsoup's client sends a GET, PUT or DELETE again by itself when a reused
- * connection closes after the request was received; the server then runs it
- * twice and the caller sees one success.  Whether work is once-only is decided
- * by its class, not its method, so every once-only attempt opens a connection
- * of its own (1 ms at the servers): libsoup never repeats on a new one.  The
- * fresh handshake also proves that the path is alive, where a pooled connection
- * may have gone silent.  Redirects and content decoding are off, since both
- * change what passes through.
+ * libsoup's client retries GET, PUT and DELETE on its own if a reused
+ * connection closes after the request was received; the server then runs the
+ * request twice and the caller sees one success.  Whether a request is
+ * once-only is decided by its class, not its method, so each once-only attempt
+ * opens a new connection (1 ms at the servers), on which libsoup never retries.
+ * The handshake also proves that the path works, while a pooled connection may
+ * be silent.  Redirects and content decoding are off, since both alter what is
+ * forwarded.
  *
- * "Not sent" is taken from libsoup's "starting" signal, which comes before the
- * first byte is written.
+ * An attempt counts as unsent until libsoup's "starting" signal, which is
+ * emitted before the first byte is written.
  */
 #include "upstream.h"
 
@@ -22,14 +22,14 @@
 #include "clock.h"
 #include "headers.h"
 
-#define HEADERS_USUAL 512           /* bytes; more makes the buffer grow */
+#define HEADERS_SIZE_HINT 512       /* bytes; the buffer grows if needed */
 #define GRANT_TIMEOUT (600 * CC_MS) /* below CC_SERVER_SUSPECT */
 
 struct CcUpstream
 {
-  char *source;         /* IP:PORT, where connections come from */
+  char *source;         /* IP:PORT; connections are made from this IP */
   GHashTable *sessions; /* server's address to SoupSession */
-  SoupSession *control; /* grants, not queued behind work */
+  SoupSession *control; /* for grants and probes, not queued behind work */
 };
 
 struct CcAttempt
@@ -54,8 +54,8 @@
   gpointer data;
 } ControlCall;
 
-/* A client with pools of its own, whose connections come from the IP of SOURCE
- * (IP:PORT). */
+/* Returns a client with its own connection pools, which connects from the IP of
+ * SOURCE (IP:PORT). */
 CcUpstream *
 cc_upstream_new (const char *source)
 {
@@ -68,9 +68,10 @@
   return u;
 }
 
-/* Each server has a session, whose pool of connections can be dropped. */
+/* Returns the session of the server at ADDRESS.  Each server has its own, so
+ * that its connection pool can be dropped. */
 static SoupSession *
-session_of (CcUpstream *u, const char *address)
+find_session (CcUpstream *u, const char *address)
 {
   SoupSession *s = g_hash_table_lookup (u->sessions, address);
 
@@ -82,8 +83,8 @@
   return s;
 }
 
-/* Work sent to ADDRESS from now on gets fresh connections.  Attempts in
- * progress keep theirs, which are closed when the last of them has ended. */
+/* Makes later attempts at ADDRESS use new connections.  Attempts in progress
+ * keep theirs, which are closed when the last of them has ended. */
 void
 cc_upstream_drop_pool (CcUpstream *u, const char *address)
 {
@@ -91,16 +92,16 @@
 }
 
 static gboolean
-passes_on (const char *name)
+is_forwarded (const char *name)
 {
-  static const char *const kept_back[] = {
+  static const char *const not_forwarded[] = {
     "Connection",       "Content-Length", "Keep-Alive",   "Transfer-Encoding",
     "Upgrade",          "Host",           "Te",           "Trailer",
     "Proxy-Connection", "Expect",         CC_HDR_OUTCOME, NULL
   };
 
-  for (guint i = 0; kept_back[i] != NULL; i++)
-    if (g_ascii_strcasecmp (name, kept_back[i]) == 0)
+  for (guint i = 0; not_forwarded[i] != NULL; i++)
+    if (g_ascii_strcasecmp (name, not_forwarded[i]) == 0)
       return FALSE;
   return TRUE;
 }
@@ -115,20 +116,20 @@
 }
 
 static void
-fill_headers (SoupMessageHeaders *h, const CcUpstreamRequest *o)
+fill_headers (SoupMessageHeaders *h, const CcUpstreamRequest *request)
 {
   CcHeadersIter iter;
   const char *name, *value;
 
-  cc_headers_iter (&iter, o->headers);
+  cc_headers_iter (&iter, request->headers);
   while (cc_headers_next (&iter, &name, &value))
-    if (passes_on (name))
+    if (is_forwarded (name))
       soup_message_headers_append (h, name, value);
-  add_number (h, CC_HDR_TERM, o->term);
-  add_number (h, CC_HDR_SLICE, o->slice);
-  add_number (h, CC_HDR_EPOCH, o->epoch);
-  add_number (h, CC_HDR_DEADLINE, (guint64) (o->deadline / CC_MS));
-  soup_message_headers_replace (h, CC_HDR_RUN_ID, o->run_id);
+  add_number (h, CC_HDR_TERM, request->term);
+  add_number (h, CC_HDR_SLICE, request->slice);
+  add_number (h, CC_HDR_EPOCH, request->epoch);
+  add_number (h, CC_HDR_DEADLINE, (guint64) (request->deadline / CC_MS));
+  soup_message_headers_replace (h, CC_HDR_RUN_ID, request->run_id);
 }
 
 static GVariant *
@@ -136,11 +137,11 @@
 {
   SoupMessageHeadersIter iter;
   const char *name, *value;
-  GString *packed = g_string_sized_new (HEADERS_USUAL);
+  GString *packed = g_string_sized_new (HEADERS_SIZE_HINT);
 
   soup_message_headers_iter_init (&iter, h);
   while (soup_message_headers_iter_next (&iter, &name, &value))
-    if (passes_on (name) && g_utf8_validate (value, -1, NULL))
+    if (is_forwarded (name) && g_utf8_validate (value, -1, NULL))
       cc_headers_add (packed, name, value);
   return cc_headers_take (packed);
 }
@@ -154,7 +155,8 @@
   a->started = TRUE;
 }
 
-/* Believes a server that says it did not run the order, and only then. */
+/* Classifies an answer.  Only a server that reports not-run counts as not
+ * having run the request. */
 static CcAttemptEnd
 classify (SoupMessage *m)
 {
@@ -194,22 +196,25 @@
   g_free (a);
 }
 
-/* libsoup itself uses a kept connection for these alone. */
+/* Whether METHOD may use a pooled connection; libsoup does so only for these.
+ */
 static gboolean
-is_reusable (const char *method)
+may_use_pool (const char *method)
 {
   return g_str_equal (method, "GET") || g_str_equal (method, "HEAD") ||
          g_str_equal (method, "PUT") || g_str_equal (method, "DELETE");
 }
 
-/* Sends O once.  DONE is called once, also after cc_attempt_cancel.  Returns
- * NULL, without calling DONE, if the order can't be expressed in HTTP. */
+/* Sends REQUEST once.  DONE is called once, also after cc_attempt_cancel.
+ * Returns NULL, without calling DONE, if the request cannot be expressed in
+ * HTTP. */
 CcAttempt *
-cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *o, CcAttemptDone done,
-                  gpointer data)
+cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *request,
+                  CcAttemptDone done, gpointer data)
 {
-  g_autofree char *url = g_strconcat ("http://", o->address, o->path, NULL);
-  SoupMessage *message = soup_message_new (o->method, url);
+  g_autofree char *url =
+      g_strconcat ("http://", request->address, request->path, NULL);
+  SoupMessage *message = soup_message_new (request->method, url);
   CcAttempt *a;
 
   if (message == NULL)
@@ -221,21 +226,21 @@
   a->done = done;
   a->data = data;
   soup_message_add_flags (message, SOUP_MESSAGE_NO_REDIRECT);
-  if (o->once_only || o->fresh || !is_reusable (o->method))
+  if (request->once_only || request->fresh || !may_use_pool (request->method))
     cc_http_once (message);
-  if (o->body != NULL && g_bytes_get_size (o->body) > 0)
-    soup_message_set_request_body_from_bytes (message, NULL, o->body);
-  fill_headers (soup_message_get_request_headers (message), o);
+  if (request->body != NULL && g_bytes_get_size (request->body) > 0)
+    soup_message_set_request_body_from_bytes (message, NULL, request->body);
+  fill_headers (soup_message_get_request_headers (message), request);
   g_signal_connect (message, "starting", G_CALLBACK (on_starting), a);
-  soup_session_send_and_read_async (session_of (u, o->address), message,
+  soup_session_send_and_read_async (find_session (u, request->address), message,
                                     G_PRIORITY_DEFAULT, a->cancel, on_answer,
                                     a);
   return a;
 }
 
-/* Closes the attempt's connection, by which the server learns that nobody
- * waits.  Its callback follows, with CC_ATTEMPT_LOST unless nothing was sent.
- */
+/* Cancels A by closing its connection, which tells the server that the answer
+ * is not needed.  The callback follows, with CC_ATTEMPT_LOST unless nothing was
+ * sent. */
 void
 cc_attempt_cancel (CcAttempt *a)
 {
@@ -293,11 +298,11 @@
 }
 
 static char *
-grant_text (const CcHolding *h, const char *holder)
+grant_body (const CcHolding *h, const char *holder)
 {
   GString *s = g_string_new (NULL);
   GHashTableIter iter;
-  gpointer slice, one;
+  gpointer slice, held;
   const char *comma = "";
 
   g_string_append_printf (
@@ -308,25 +313,26 @@
       holder, h->pool, h->term, h->serial, CC_GRANT_TTL / CC_MS,
       (cc_clock_wall () + CC_GRANT_TTL) / CC_MS);
   g_hash_table_iter_init (&iter, h->slices);
-  while (g_hash_table_iter_next (&iter, &slice, &one))
+  while (g_hash_table_iter_next (&iter, &slice, &held))
     {
       g_string_append_printf (s, "%s[%u,%" G_GUINT64_FORMAT "]", comma,
                               GPOINTER_TO_UINT (slice),
-                              ((CcHeldSlice *) one)->epoch);
+                              ((CcHeldSlice *) held)->epoch);
       comma = ",";
     }
   g_string_append (s, "]}");
   return g_string_free (s, FALSE);
 }
 
-/* Sends H's grant: holder, term, lifetime and the slices with their epochs,
- * on a new connection each time, so that it also probes the path. */
+/* Sends H's grant to its server: holder, term, lifetime and the slices with
+ * their epochs.  Uses a new connection each time, so that it also checks the
+ * path. */
 void
 cc_upstream_grant (CcUpstream *u, const CcHolding *h, const char *holder,
                    CcGrantDone done, gpointer data)
 {
   ControlCall *c = control_call (u, "PUT", h, "/capercrank/grant", done, data);
-  char *text = grant_text (h, holder);
+  char *text = grant_body (h, holder);
   g_autoptr (GBytes) body = g_bytes_new_take (text, strlen (text));
 
   soup_message_set_request_body_from_bytes (c->message, "application/json",
@@ -335,7 +341,7 @@
                                     c->cancel, on_control_answer, c);
 }
 
-/* Asks whether the server is there, without granting it anything. */
+/* Checks whether H's server is reachable, without granting anything. */
 void
 cc_upstream_probe (CcUpstream *u, const CcHolding *h, CcGrantDone done,
                    gpointer data)
--- a/upstream.h
+++ b/upstream.h
@@ -1,11 +1,11 @@
-/* HTTP to the servers: attempts, grants and probes. */
+/* HTTP client for the servers: attempts, grants and probes. */
 #ifndef CC_UPSTREAM_H
 #define CC_UPSTREAM_H
 
 #include "capercrank.h"
 #include "holding.h"
 
-/* Open connections to one server; the servers accept 130. */
+/* Connections to one server; the servers accept 130. */
 #define CC_CONNECTIONS_MAX 130
 
 typedef struct CcUpstream CcUpstream;
@@ -16,7 +16,7 @@
   const char *address; /* IP:PORT of the server */
   const char *method;
   const char *path;
-  GVariant *headers; /* packed, as the caller sent them */
+  GVariant *headers; /* packed, see headers.h; as the caller sent them */
   GBytes *body;
   gint64 deadline; /* wall clock, us */
   guint64 term;
@@ -24,15 +24,15 @@
   guint64 epoch;
   const char *run_id;
   gboolean once_only;
-  gboolean fresh; /* on a new connection: a kept one may have gone silent */
+  gboolean fresh; /* on a new connection, since a pooled one may be silent */
 } CcUpstreamRequest;
 
 typedef enum
 {
   CC_ATTEMPT_ANSWERED, /* the server ran it and answered */
-  CC_ATTEMPT_FENCED,   /* refused for its grant: not run */
-  CC_ATTEMPT_SHED,     /* refused for its load: not run */
-  CC_ATTEMPT_UNSENT,   /* nothing left this process: not run */
+  CC_ATTEMPT_FENCED,   /* rejected because of its grant: not run */
+  CC_ATTEMPT_SHED,     /* rejected because of its load: not run */
+  CC_ATTEMPT_UNSENT,   /* nothing was sent: not run */
   CC_ATTEMPT_LOST      /* sent, no answer: unknown */
 } CcAttemptEnd;
 
@@ -45,12 +45,13 @@
 } CcAttemptResult;
 
 typedef void (*CcAttemptDone) (const CcAttemptResult *r, gpointer data);
-/* STATUS: CC_OK; CC_CONFLICT: the server knows a higher term; CC_UNKNOWN. */
+/* STATUS is CC_OK, CC_CONFLICT if the server knows a higher term, or CC_UNKNOWN
+ * if there was no usable answer.  SENT is the time of sending, us. */
 typedef void (*CcGrantDone) (CcStatus status, guint64 serial, gint64 sent,
                              gpointer data);
 
 CcUpstream *cc_upstream_new (const char *source);
-CcAttempt *cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *o,
+CcAttempt *cc_upstream_send (CcUpstream *u, const CcUpstreamRequest *request,
                              CcAttemptDone done, gpointer data);
 void cc_upstream_drop_pool (CcUpstream *u, const char *address);
 void cc_attempt_cancel (CcAttempt *a);
