--- a/test/test_grant_time.c
+++ b/test/test_grant_time.c
@@ -1,4 +1,4 @@
-/* What a slowed process grants after the end of its lease: nothing. */
+/* Guards against grants sent by a slow process after its lease has ended. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -17,16 +17,16 @@
 static struct
 {
   guint sent;
-  gint64 each_takes; /* us of this process */
+  gint64 call_time; /* time that each call takes, us */
 } calls;
 
-/* In place of http_link.c. */
+/* Replaces the functions of http_link.c. */
 CcHttpCall *
 cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
 {
   (void) h, (void) o, (void) data;
   calls.sent++;
-  cc_clock_advance (calls.each_takes);
+  cc_clock_advance (calls.call_time);
   return (CcHttpCall *) done;
 }
 
@@ -57,7 +57,7 @@
 }
 
 static void
-list_upstream (CcTargets *t)
+add_upstream (CcTargets *t)
 {
   CcView view;
   CcVersionClock clock = { 0 };
@@ -73,19 +73,19 @@
 static void
 add_range (CcGrantedPool *p, guint from)
 {
-  CcKeyRange *r = cc_key_range_new (from, from + 9, "u", 1, 1 + from);
-  CcRangeGrant *x = cc_range_grant_new (p->shared, POOL, &p->ranges, r);
+  CcKeyRange *range = cc_key_range_new (from, from + 9, "u", 1, 1 + from);
+  CcRangeGrant *grant = cc_range_grant_new (p->shared, POOL, &p->ranges, range);
 
-  x->held = x->written = TRUE;
-  g_ptr_array_add (p->ranges.list, r);
-  g_ptr_array_add (p->grants, x);
+  grant->held = grant->written = TRUE;
+  g_ptr_array_add (p->ranges.list, range);
+  g_ptr_array_add (p->grants, grant);
 }
 
-/* Guards against grants that leave after the lease's end, since each takes a
- * slowed process long and all go by one look at the clock: whoever has taken
- * over counts them as ended when they are not. */
+/* Guards against grants sent after the end of the lease because the clock is
+ * read once for all of them while each takes long: the next granter assumes
+ * that they have ended. */
 static void
-each_grant_looks_at_the_clock (void **state)
+each_grant_checks_the_clock (void **state)
 {
   CcTargets targets;
   CcGrantShared shared = { .targets = &targets };
@@ -93,13 +93,13 @@
 
   (void) state;
   cc_clock_pause (START, START);
-  list_upstream (&targets);
+  add_upstream (&targets);
   cc_granter_lease_confirmed (&shared.lease, 1, START);
   p = cc_granted_pool_new (POOL, &shared);
   for (guint i = 0; i < RANGES; i++)
     add_range (p, 10 * i);
   cc_clock_advance (CC_GRANTER_BLIND - CC_MS);
-  calls.each_takes = 2 * CC_MS;
+  calls.call_time = 2 * CC_MS;
   cc_granted_pool_step (p, cc_clock_now ());
   assert_int_equal (calls.sent, 1);
 }
@@ -108,7 +108,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (each_grant_looks_at_the_clock),
+    cmocka_unit_test (each_grant_checks_the_clock),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
