--- a/connections.c
+++ b/connections.c
@@ -1,15 +1,16 @@
-/* Acts on the judgement of a held server's kept connections
- * (connection_health.h): gives up idempotent attempts on silent ones, one at a
- * look so that each finds its retry in the budget, and drops the pool.  Before
- * that, attempts that were overtaken are given up (hedge.h): this needs no
- * probe and comes sooner where other connections work. */
+/* Handles pooled connections of a held server that have gone silent, on which
+ * attempts would otherwise wait until their deadline (connection_health.h).
+ * Idempotent attempts on them are cancelled and retried, one per check so that
+ * the retry budget covers each, and the pool is dropped.  Before that, attempts
+ * overtaken by answers to later ones are cancelled (hedge.h), which needs no
+ * probe and happens sooner while other connections work. */
 #include "server.h"
 
 #include "log.h"
 
-/* Whether J's attempt is on a kept connection and a second one is allowed. */
+/* Whether J's attempt is on a pooled connection and may be retried. */
 static gboolean
-may_be_given_up (CcServer *s, const CcJob *j)
+is_replaceable (CcServer *s, const CcJob *j)
 {
   return !j->once_only && j->state == CC_JOB_SENT &&
          cc_retries_may (&s->load.retries, j->waiting.class_id, FALSE,
@@ -17,7 +18,7 @@
 }
 
 static CcJob *
-oldest_on_kept (CcServer *s)
+oldest_replaceable (CcServer *s)
 {
   CcJob *oldest = NULL;
   GHashTableIter iter;
@@ -25,20 +26,20 @@
 
   g_hash_table_iter_init (&iter, s->sent);
   while (g_hash_table_iter_next (&iter, &job, NULL))
-    if (may_be_given_up (s, job) &&
+    if (is_replaceable (s, job) &&
         (oldest == NULL || ((CcJob *) job)->sent < oldest->sent))
       oldest = job;
   return oldest;
 }
 
-/* The second try is wanted as soon after now as the first was after arrival.
- */
+/* Cancels J's attempt on a suspect connection; on_attempt_done then retries it.
+ * The retry is due as long after NOW as the first attempt was after arrival. */
 static void
-give_up (CcServer *s, CcJob *j, gint64 now)
+replace_attempt (CcServer *s, CcJob *j, gint64 now)
 {
   if (cc_connection_drop_due (&s->connections, now))
     {
-      cc_log (CC_LOG_WARNING, "server", "%s/%s: kept connections are silent",
+      cc_log (CC_LOG_WARNING, "server", "%s/%s: pooled connections are silent",
               s->holding->pool, s->holding->name);
       ++*s->shared->pools_dropped;
       cc_upstream_drop_pool (s->shared->upstream, s->holding->address);
@@ -47,10 +48,10 @@
   cc_attempt_cancel (j->attempt);
 }
 
-/* Closes connections that swallowed an idempotent attempt; on_attempt_done
- * then tries again.  Seldom more than four to look at. */
+/* Cancels idempotent attempts that hedge.h decides to retry; on_attempt_done
+ * then retries them.  S->sent rarely holds more than four jobs. */
 static void
-hedge (CcServer *s, gint64 now)
+hedge_overtaken (CcServer *s, gint64 now)
 {
   GHashTableIter iter;
   gpointer job;
@@ -68,14 +69,15 @@
     }
 }
 
-/* Looks at the oldest attempt on a kept connection at NOW. */
+/* Checks the attempts of S on pooled connections at NOW and cancels those on
+ * silent ones. */
 void
 cc_server_check_connections (CcServer *s, gint64 now)
 {
   CcJob *j;
 
-  hedge (s, now);
-  j = oldest_on_kept (s);
+  hedge_overtaken (s, now);
+  j = oldest_replaceable (s);
   if (j == NULL)
     return;
   switch (cc_connection_judge (&s->connections, j->sent, j->waiting.cost, now))
@@ -86,7 +88,7 @@
       s->grant_due = 0;
       break;
     case CC_CONNECTION_SUSPECT:
-      give_up (s, j, now);
+      replace_attempt (s, j, now);
       break;
     }
 }
--- a/dispatch.c
+++ b/dispatch.c
@@ -1,10 +1,11 @@
 /* capercrank-dispatch: the only process that sends work to the servers whose
  * lease it holds.
  *
- * One per instance.  It follows the platform's table, keeps its lease, takes
- * on the servers that the slice maps give it, and runs entries' requests on
- * them.  All state stands in this main loop; the parts talk by calls within it
- * and by messages with other processes. */
+ * There is one per instance.  It follows the platform's table, renews its
+ * lease, takes over the servers that the slice maps assign to it, and runs
+ * requests from entries on them.  All state belongs to one main loop; the
+ * modules call each other within it and exchange messages with other processes.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -17,8 +18,9 @@
 #include "metrics.h"
 
 #define TICK_MS 20
-#define PLATFORM_TIMEOUT (700 * CC_MS) /* three tries within a lease term */
-#define DRAIN_LIMIT (20 * CC_SECOND)   /* SIGTERM: then leave all the same */
+#define PLATFORM_TIMEOUT                                                       \
+  (700 * CC_MS)                    /* three calls start within a lease term */
+#define DRAIN_MAX (20 * CC_SECOND) /* then exits, even with servers held */
 
 static void
 on_message (const CcMessage *m, gpointer data)
@@ -38,7 +40,7 @@
       cc_intake_cancel (d, m);
       break;
     case CC_MSG_OUTCOMES:
-      ++*d->received;
+      ++*d->outcomes_received;
       cc_transfer_receive (d->transfer, &m->u.outcomes, m->from);
       break;
     case CC_MSG_REPLY:
@@ -59,7 +61,7 @@
 }
 
 static void
-note_slices (CcDispatcher *d, const CcSliceMap *m)
+update_transfers (CcDispatcher *d, const CcSliceMap *m)
 {
   for (guint i = 0; i < cc_slicemap_units (m); i++)
     {
@@ -72,28 +74,29 @@
 }
 
 static CcServer *
-take_server (CcDispatcher *d, const CcSliceMap *m, const CcMapServer *one)
+add_server (CcDispatcher *d, const CcSliceMap *m, const CcMapServer *map_server)
 {
   const CcPool *pool = d->follower->document != NULL
                            ? cc_document_pool (d->follower->document, m->pool)
                            : NULL;
-  gboolean checks = pool != NULL && pool->checks_grants;
-  gint64 quiet_at = one->term == 1 ? 0 : cc_clock_wall () + CC_SKEW_MAX;
+  gboolean checks_grants = pool != NULL && pool->checks_grants;
+  gint64 quiet_at = map_server->term == 1 ? 0 : cc_clock_wall () + CC_SKEW_MAX;
   CcServer *s;
 
-  if (one->term > 1 && pool != NULL)
+  if (map_server->term > 1 && pool != NULL)
     quiet_at += cc_document_longest (d->follower->document, m->pool);
-  s = cc_server_new (&d->shared, cc_holding_new (m->pool, one, checks,
-                                                 cc_clock_now (), quiet_at));
-  g_hash_table_insert (d->servers, g_strconcat (m->pool, "/", one->name, NULL),
-                       s);
+  s = cc_server_new (&d->shared,
+                     cc_holding_new (m->pool, map_server, checks_grants,
+                                     cc_clock_now (), quiet_at));
+  g_hash_table_insert (d->servers,
+                       g_strconcat (m->pool, "/", map_server->name, NULL), s);
   cc_log (CC_LOG_INFO, "server", "%s/%s is held here, term %" G_GUINT64_FORMAT,
-          m->pool, one->name, one->term);
+          m->pool, map_server->name, map_server->term);
   return s;
 }
 
 static void
-drop_server (CcDispatcher *d, CcServer *s)
+remove_server (CcDispatcher *d, CcServer *s)
 {
   g_autofree char *key =
       g_strconcat (s->holding->pool, "/", s->holding->name, NULL);
@@ -103,7 +106,7 @@
 }
 
 static gboolean
-keeps (const CcDispatcher *d, const char *name)
+serves_without_lease (const CcDispatcher *d, const char *name)
 {
   const CcPool *pool = cc_document_pool (d->follower->document, name);
 
@@ -111,62 +114,63 @@
 }
 
 static void
-note_leaving (CcServer *s, const CcSliceMap *m, gint32 index)
+track_removed_units (CcServer *s, const CcSliceMap *m, gint32 index)
 {
   guint leaving = cc_slicemap_leaving (m, index);
 
   if (leaving == 0)
     return;
-  s->taking = m->version;
-  s->taking_at = cc_clock_now ();
+  s->removal_version = m->version;
+  s->removal_read_at = cc_clock_now ();
   cc_log (CC_LOG_INFO, "server",
-          "%s/%s: version %" G_GUINT64_FORMAT " takes %u units away", m->pool,
+          "%s/%s: version %" G_GUINT64_FORMAT " removes %u units", m->pool,
           s->holding->name, m->version, leaving);
 }
 
-/* A server that this process is to hand over is taken on even if it never held
- * it, having missed the map that said so: the next holder waits for its word.
- */
+/* Applies M to the server INDEX of it.  A server that this process is to hand
+ * over is added even if it never held it, having missed the map that assigned
+ * it, because the next holder waits for its report. */
 static void
 update_server (CcDispatcher *d, const CcSliceMap *m, gint32 index)
 {
-  const CcMapServer *one = cc_slicemap_server (m, index);
-  const char *me = d->tenure->id;
-  gboolean mine = g_str_equal (one->dispatcher, me) && one->from[0] == '\0';
-  gboolean leaving = g_str_equal (one->from, me);
-  CcServer *s = cc_dispatcher_server (d, m->pool, one->name);
-
-  if (s == NULL && (mine || leaving))
-    s = take_server (d, m, one);
+  const CcMapServer *map_server = cc_slicemap_server (m, index);
+  const char *own_id = d->tenure->id;
+  gboolean owned = g_str_equal (map_server->dispatcher, own_id) &&
+                   map_server->from[0] == '\0';
+  gboolean leaving = g_str_equal (map_server->from, own_id);
+  CcServer *s = cc_dispatcher_server (d, m->pool, map_server->name);
+
+  if (s == NULL && (owned || leaving))
+    s = add_server (d, m, map_server);
   if (s == NULL)
     return;
-  if (!mine && !leaving)
+  if (!owned && !leaving)
     {
-      drop_server (d, s);
+      remove_server (d, s);
       return;
     }
-  s->holding->keeps = keeps (d, m->pool);
+  s->holding->keeps = serves_without_lease (d, m->pool);
   if (m->version <= s->holding->map_version)
     return;
-  note_leaving (s, m, index);
-  cc_holding_update (s->holding, m, index, me);
+  track_removed_units (s, m, index);
+  cc_holding_update (s->holding, m, index, own_id);
   cc_server_updated (s);
 }
 
 static void
-drop_unlisted (CcDispatcher *d, const CcSliceMap *m)
+remove_unlisted (CcDispatcher *d, const CcSliceMap *m)
 {
-  GList *all = g_hash_table_get_values (d->servers);
+  GList *servers = g_hash_table_get_values (d->servers);
 
-  for (GList *l = all; l != NULL; l = l->next)
+  for (GList *l = servers; l != NULL; l = l->next)
     {
       CcServer *s = l->data;
 
       if (g_str_equal (s->holding->pool, m->pool) &&
           cc_slicemap_find (m, s->holding->name) < 0)
-        drop_server (d, s);
+        remove_server (d, s);
     }
-  g_list_free (all);
+  g_list_free (servers);
 }
 
 static void
@@ -183,15 +187,15 @@
     {
       const CcSliceMap *m = map;
 
-      drop_unlisted (d, m);
+      remove_unlisted (d, m);
       for (guint i = 0; i < m->servers->len; i++)
         update_server (d, m, (gint32) i);
-      note_slices (d, m);
+      update_transfers (d, m);
     }
 }
 
-/* The lease was gained or lost, or the id given up: what was held under another
- * id is let go of before the new one is registered (cut_off.c). */
+/* Handles a gained or lost lease or a change of the id.  Servers held under the
+ * previous id are released before the new one is registered (cut_off.c). */
 static void
 on_tenure (CcTenure *t, gboolean held, gpointer data)
 {
@@ -202,7 +206,7 @@
 }
 
 static void
-go_on_stopping (CcDispatcher *d, gint64 now)
+continue_shutdown (CcDispatcher *d, gint64 now)
 {
   if (d->stop_at == 0)
     return;
@@ -216,7 +220,7 @@
 }
 
 static void
-tend_lease (CcDispatcher *d, gint64 now)
+update_lease (CcDispatcher *d, gint64 now)
 {
   const CcRow *voters = cc_view_get (&d->follower->view, "voters");
 
@@ -233,7 +237,7 @@
   GHashTableIter iter;
   gpointer server;
 
-  tend_lease (d, now);
+  update_lease (d, now);
 
   g_hash_table_iter_init (&iter, d->servers);
   while (g_hash_table_iter_next (&iter, NULL, &server))
@@ -245,7 +249,7 @@
                     g_hash_table_size (d->servers));
   cc_metrics_gauge ("capercrank_outcomes", "",
                     cc_outcomes_count (d->shared.outcomes));
-  go_on_stopping (d, now);
+  continue_shutdown (d, now);
   return G_SOURCE_CONTINUE;
 }
 
@@ -258,7 +262,7 @@
     return G_SOURCE_CONTINUE;
   cc_log (CC_LOG_INFO, "draining", "handing over %u servers",
           g_hash_table_size (d->servers));
-  d->stop_at = cc_clock_now () + DRAIN_LIMIT;
+  d->stop_at = cc_clock_now () + DRAIN_MAX;
   cc_tenure_drain (d->tenure);
   return G_SOURCE_CONTINUE;
 }
@@ -294,10 +298,11 @@
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   d->servers =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, server_free);
-  d->refused = cc_metrics_counter ("capercrank_requests_refused", "");
+  d->rejected = cc_metrics_counter ("capercrank_requests_refused", "");
   d->repeats = cc_metrics_counter ("capercrank_repeats_answered", "");
-  d->received = cc_metrics_counter ("capercrank_outcomes_received", "");
-  d->passed_on = cc_metrics_counter ("capercrank_outcomes_passed_on", "");
+  d->outcomes_received =
+      cc_metrics_counter ("capercrank_outcomes_received", "");
+  d->outcomes_sent = cc_metrics_counter ("capercrank_outcomes_passed_on", "");
   d->cancelled = cc_metrics_counter ("capercrank_requests_cancelled", "");
 }
 
@@ -324,15 +329,17 @@
     { CC_SETTING_STRING, "instance", NULL, "name of this instance", 0, 0,
       NULL },
     { CC_SETTING_STRING, "zone", NULL, "its availability zone", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox for other processes", 0, 0,
-      NULL },
+    { CC_SETTING_ADDRESS, "listen", NULL, "mailbox address for other processes",
+      0, 0, NULL },
     { CC_SETTING_ADDRESSES, "advertise", "",
-      "address by which others reach the mailbox, if another", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "admin", NULL, "metrics and readiness", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "platform", NULL, "the platform's service", 0, 0,
+      "mailbox address as other processes reach it, if it differs", 0, 0,
       NULL },
-    { CC_SETTING_ADDRESSES, "peers", "", "mailboxes of peers to start from", 0,
+    { CC_SETTING_ADDRESS, "admin", NULL, "address of metrics and readiness", 0,
       0, NULL },
+    { CC_SETTING_ADDRESS, "platform", NULL, "address of the platform's service",
+      0, 0, NULL },
+    { CC_SETTING_ADDRESSES, "peers", "",
+      "mailboxes of peers to contact at the start", 0, 0, NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   CcDispatcher d = { .settings = settings };
@@ -340,8 +347,9 @@
   CcPlatform *platform;
   g_auto (GStrv) peers = NULL;
 
-  switch (cc_settings_read (settings, "capercrank-dispatch",
-                            "Sends work to the servers it holds.", argc, argv))
+  switch (cc_settings_read (
+      settings, "capercrank-dispatch",
+      "Runs entries' requests on the servers that it holds.", argc, argv))
     {
     case CC_START_STOP:
       return 0;
--- a/dispatcher.h
+++ b/dispatcher.h
@@ -1,4 +1,4 @@
-/* What the parts of capercrank-dispatch share. */
+/* State shared by the modules of capercrank-dispatch. */
 #ifndef CC_DISPATCHER_H
 #define CC_DISPATCHER_H
 
@@ -16,14 +16,14 @@
   CcTenure *tenure;
   CcVoting *voting;
   CcServerShared shared;
-  CcTransfer *transfer; /* memory of outcomes, between dispatchers */
+  CcTransfer *transfer; /* attempt records, between dispatchers */
   GHashTable *servers;  /* "pool/server" to CcServer */
-  gint64 stop_at;       /* while stopping: when to leave at the latest, us */
-  CcCounter *refused;   /* requests for what is not held here */
-  CcCounter *repeats;   /* once-only requests answered from memory */
+  gint64 stop_at;       /* latest exit when draining, us; 0: not draining */
+  CcCounter *rejected;  /* requests for keys that are not held here */
+  CcCounter *repeats;   /* once-only requests answered from the records */
   CcCounter *cancelled;
-  CcCounter *received;  /* chunks of outcomes from earlier holders */
-  CcCounter *passed_on; /* chunks of outcomes sent to next holders */
+  CcCounter *outcomes_received; /* record chunks from previous holders */
+  CcCounter *outcomes_sent;     /* record chunks sent to next holders */
 } CcDispatcher;
 
 CcServer *cc_dispatcher_server (CcDispatcher *d, const char *pool,
--- a/grants.c
+++ b/grants.c
@@ -1,6 +1,6 @@
-/* Keeps a held server's grant alive, and by the same calls learns whether the
- * server answers at all: a grant, or a probe, goes out each CC_GRANT_PERIOD on
- * a connection of its own. */
+/* Renews the grant of a held server.  Every CC_GRANT_PERIOD a grant, or a probe
+ * if no grant may be sent, goes out on a new connection, so the same calls also
+ * show whether the server is reachable. */
 #include "server.h"
 
 #include "clock.h"
@@ -36,7 +36,8 @@
   on_granted (status, 0, sent, data);
 }
 
-/* Sends a grant if one is due at NOW, or a probe where none may be sent. */
+/* Sends a grant to S if one is due at NOW, or a probe if no grant may be sent.
+ */
 void
 cc_server_renew_grant (CcServer *s, gint64 now)
 {
--- a/intake.c
+++ b/intake.c
@@ -1,16 +1,17 @@
-/* A dispatcher's requests, from their message to a server's queue.
+/* Accepts requests from entries and queues them for a server.
  *
- * Ownership is asked first, then the memory of outcomes, then the lease: a
- * repeat whose first attempt ran must hear so, whatever has been lost since. */
+ * Ownership is checked first, then the attempt records, then the lease: a
+ * repeat whose first attempt ran must receive that outcome, even if the server
+ * or the lease has been lost since. */
 #include "dispatcher.h"
 
 #include "clock.h"
 
-#define MOVED_WAIT_MS 20         /* usual time of a move of ownership */
-#define SERVER_LOST_WAIT_MS 1000 /* its slices have moved in about 2 s */
-#define NO_LEASE_WAIT_MS 500     /* a renewal's period */
+#define MOVED_RETRY_AFTER_MS 20 /* usual duration of an ownership move */
+#define SERVER_LOST_RETRY_AFTER_MS 1000 /* its slices move within about 2 s */
+#define NO_LEASE_RETRY_AFTER_MS 500     /* a lease renewal */
 
-/* The server NAME of POOL if it is held here, or NULL. */
+/* Returns the server NAME of POOL, or NULL if it is not held here. */
 CcServer *
 cc_dispatcher_server (CcDispatcher *d, const char *pool, const char *name)
 {
@@ -20,33 +21,34 @@
 }
 
 static void
-refuse (CcDispatcher *d, const CcMessage *m, CcOutcome outcome,
-        const char *reason, guint32 wait_ms, gboolean reroute)
+reject (CcDispatcher *d, const CcMessage *m, CcOutcome outcome,
+        const char *reason, guint32 retry_after_ms, gboolean reroute)
 {
   CcMsgReply r = { .outcome = outcome,
                    .reroute = reroute,
                    .reason = reason,
-                   .retry_after = wait_ms };
+                   .retry_after = retry_after_ms };
 
-  ++*d->refused;
+  ++*d->rejected;
   cc_reply_send (d->mailbox, m->reply_to, m->from, m->id, &r);
 }
 
 static void
-answer_again (CcDispatcher *d, const CcMessage *m, const CcRemembered *kept)
+answer_repeat (CcDispatcher *d, const CcMessage *m, const CcRemembered *record)
 {
-  CcMsgReply r = { .outcome = kept->outcome,
+  CcMsgReply r = { .outcome = record->outcome,
                    .reason = "repeat",
-                   .status = kept->status,
-                   .headers = kept->headers,
-                   .body = kept->body };
+                   .status = record->status,
+                   .headers = record->headers,
+                   .body = record->body };
 
   ++*d->repeats;
   cc_reply_send (d->mailbox, m->reply_to, m->from, m->id, &r);
 }
 
 static void
-join_first (CcDispatcher *d, const CcMessage *m, const char *pool, guint slice)
+join_first_attempt (CcDispatcher *d, const CcMessage *m, const char *pool,
+                    guint slice)
 {
   g_autofree char *name =
       cc_first_attempt_name (pool, slice, m->u.request.idempotency);
@@ -55,7 +57,7 @@
   if (first != NULL)
     cc_server_join (&d->shared, first, m);
   else
-    refuse (d, m, CC_OUTCOME_UNKNOWN, "repeat", 0, FALSE);
+    reject (d, m, CC_OUTCOME_UNKNOWN, "repeat", 0, FALSE);
 }
 
 static void
@@ -75,52 +77,56 @@
   cc_server_submit (s, j, class);
 }
 
-/* Nothing of the request has run here.  Without a lease another dispatcher may
- * have run it meanwhile, so the entry is to ask again. */
+/* Starts the request in M, no part of which has run here.  Without a lease
+ * another dispatcher may have run it meanwhile, so the entry has to route it
+ * again. */
 static void
-start_or_refuse (CcDispatcher *d, const CcMessage *m, CcServer *s,
+start_or_reject (CcDispatcher *d, const CcMessage *m, CcServer *s,
                  const CcClass *class, guint slice)
 {
   if (s->holding->lost)
-    refuse (d, m, CC_OUTCOME_NOT_RUN, "server-lost", SERVER_LOST_WAIT_MS,
+    reject (d, m, CC_OUTCOME_NOT_RUN, "server-lost", SERVER_LOST_RETRY_AFTER_MS,
             FALSE);
   else if (!cc_server_may_serve (s, cc_clock_now ()))
-    refuse (d, m, CC_OUTCOME_NOT_RUN, "no-lease", NO_LEASE_WAIT_MS, TRUE);
+    reject (d, m, CC_OUTCOME_NOT_RUN, "no-lease", NO_LEASE_RETRY_AFTER_MS,
+            TRUE);
   else
     start_job (d, m, s, class, slice);
 }
 
-/* The memory is asked before anything is refused: a repeat whose first attempt
- * ran must hear so, also while its server is lost. */
+/* Handles a once-only request.  The attempt records are checked before it can
+ * be rejected: a repeat whose first attempt ran must receive that outcome, even
+ * while its server is lost. */
 static void
-take_once_only (CcDispatcher *d, const CcMessage *m, CcServer *s,
-                const CcClass *class, guint slice)
+handle_once_only (CcDispatcher *d, const CcMessage *m, CcServer *s,
+                  const CcClass *class, guint slice)
 {
-  const CcRemembered *kept = NULL;
+  const CcRemembered *record = NULL;
 
   switch (cc_outcomes_ask (d->shared.outcomes, class->pool, slice,
-                           m->u.request.idempotency, cc_clock_wall (), &kept))
+                           m->u.request.idempotency, cc_clock_wall (), &record))
     {
     case CC_REPEAT_NEW:
-      start_or_refuse (d, m, s, class, slice);
+      start_or_reject (d, m, s, class, slice);
       break;
     case CC_REPEAT_RUNNING:
-      join_first (d, m, class->pool, slice);
+      join_first_attempt (d, m, class->pool, slice);
       break;
     case CC_REPEAT_DONE:
-      answer_again (d, m, kept);
+      answer_repeat (d, m, record);
       break;
     case CC_REPEAT_TOO_OLD:
-      refuse (d, m, CC_OUTCOME_UNKNOWN, "forgotten", 0, FALSE);
+      reject (d, m, CC_OUTCOME_UNKNOWN, "forgotten", 0, FALSE);
       break;
     case CC_REPEAT_AHEAD:
     case CC_REPEAT_MALFORMED:
-      refuse (d, m, CC_OUTCOME_NOT_RUN, "idempotency-key", 0, FALSE);
+      reject (d, m, CC_OUTCOME_NOT_RUN, "idempotency-key", 0, FALSE);
       break;
     }
 }
 
-/* Handles a REQUEST: runs it, answers it again, or refuses it. */
+/* Handles a REQUEST: starts it, answers it from the attempt records, or rejects
+ * it. */
 void
 cc_intake_request (CcDispatcher *d, const CcMessage *m)
 {
@@ -147,14 +153,14 @@
   if (s != NULL && cc_holding_owns (s->holding, slice))
     cc_unit_meter_arrived (s->meter, slice, hash, cc_clock_now ());
   if (s == NULL || !cc_holding_owns (s->holding, slice))
-    refuse (d, m, CC_OUTCOME_NOT_RUN, "moved", MOVED_WAIT_MS, TRUE);
+    reject (d, m, CC_OUTCOME_NOT_RUN, "moved", MOVED_RETRY_AFTER_MS, TRUE);
   else if (class->once_only)
-    take_once_only (d, m, s, class, slice);
+    handle_once_only (d, m, s, class, slice);
   else
-    start_or_refuse (d, m, s, class, slice);
+    start_or_reject (d, m, s, class, slice);
 }
 
-/* Handles a CANCEL: the caller of a request went away. */
+/* Handles a CANCEL: the caller of a request disconnected. */
 void
 cc_intake_cancel (CcDispatcher *d, const CcMessage *m)
 {
--- a/reports.c
+++ b/reports.c
@@ -1,6 +1,6 @@
-/* A dispatcher's reports: to the assigner, of what each server has stopped and
- * what it bears; to the next holder, the memory of outcomes that moves along.
- */
+/* A dispatcher's reports: to the assigner, which work each server has stopped
+ * and the load that it carries; to the next holder of a slice, the attempt
+ * records of that slice. */
 #include "dispatcher.h"
 
 #include <json-glib/json-glib.h>
@@ -9,10 +9,10 @@
 #include "log.h"
 
 #define REPORT_PERIOD (200 * CC_MS)
-#define OUTCOMES_EXPIRE (5 * CC_SECOND) /* a move takes less */
+#define OUTCOMES_EXPIRE (5 * CC_SECOND) /* longer than a move */
 
 static guint64
-assigner (CcDispatcher *d, char **address)
+find_assigner (CcDispatcher *d, char **address)
 {
   const CcRow *row = cc_view_get (&d->follower->view, "assign/active");
   g_autoptr (JsonNode) root =
@@ -36,7 +36,7 @@
   g_autoptr (GVariant) loads = NULL;
   g_autoptr (GVariant) hot = NULL;
 
-  m.to = assigner (d, &address);
+  m.to = find_assigner (d, &address);
   if (m.to == 0)
     return;
   loads = g_variant_ref_sink (cc_unit_meter_loads (s->meter, cc_clock_now ()));
@@ -68,15 +68,15 @@
   m.id = cc_mailbox_next_id (d->mailbox);
   m.expires = cc_clock_wall () + OUTCOMES_EXPIRE;
   m.u.outcomes = *o;
-  ++*d->passed_on;
+  ++*d->outcomes_sent;
   return cc_mailbox_send (d->mailbox, member->address, &m);
 }
 
-/* Passes on the memory of the slices that left S.  Comes before the report
- * that lets their next holder begin, so it is mostly there by then.  Returns
- * FALSE while a link is full. */
+/* Sends the attempt records of slices removed from S to their next holders.
+ * They are sent before the report that lets those begin, so they usually arrive
+ * in time.  Returns FALSE while a link is full. */
 static gboolean
-pass_outcomes_on (CcDispatcher *d, CcServer *s, guint64 applied)
+send_removed_outcomes (CcDispatcher *d, CcServer *s, guint64 applied)
 {
   const CcSliceMap *m = cc_follower_map (d->follower, s->holding->pool);
 
@@ -86,30 +86,31 @@
 }
 
 static void
-note_stopped (CcServer *s, guint64 applied, gint64 now)
+track_removal_done (CcServer *s, guint64 applied, gint64 now)
 {
-  if (s->taking == 0 || applied < s->taking)
+  if (s->removal_version == 0 || applied < s->removal_version)
     return;
   cc_log (CC_LOG_INFO, "server",
-          "%s/%s: what version %" G_GUINT64_FORMAT
-          " takes away has stopped, after %" G_GINT64_FORMAT " ms",
-          s->holding->pool, s->holding->name, s->taking,
-          (now - s->taking_at) / CC_MS);
-  s->taking = 0;
+          "%s/%s: work removed by version %" G_GUINT64_FORMAT
+          " has stopped after %" G_GINT64_FORMAT " ms",
+          s->holding->pool, s->holding->name, s->removal_version,
+          (now - s->removal_read_at) / CC_MS);
+  s->removal_version = 0;
 }
 
-/* Reports S to the assigner if its state changed or it is time. */
+/* Reports S to the assigner if its applied version changed or a periodic report
+ * is due. */
 void
 cc_report_if_due (CcDispatcher *d, CcServer *s, gint64 now)
 {
   guint64 applied = cc_holding_applied (s->holding, now, cc_clock_wall ());
 
-  if (!pass_outcomes_on (d, s, applied))
-    applied = s->reported;
-  if (applied == s->reported && now < s->report_due)
+  if (!send_removed_outcomes (d, s, applied))
+    applied = s->applied_reported;
+  if (applied == s->applied_reported && now < s->report_due)
     return;
-  note_stopped (s, applied, now);
-  s->reported = applied;
+  track_removal_done (s, applied, now);
+  s->applied_reported = applied;
   s->report_due = now + REPORT_PERIOD;
   send_report (d, s, applied);
 }
--- a/server.c
+++ b/server.c
@@ -1,15 +1,14 @@
-/* Work on one held server.  A job enters the queue, leaves it when the server
- * has a slot, the lease stands and the grant is acknowledged, and ends with
- * one of three outcomes:
+/* Runs jobs on one held server.  A job enters the queue, is sent when the
+ * server has a free slot, the lease is valid and the grant is acknowledged, and
+ * ends with one of three outcomes:
  *
  *  run      the server answered;
- *  not-run  nothing left this process, or the server refused with proof;
- *  unknown  something left and no answer came.  Said at once when the
- *           deadline passes or the server is judged lost.
+ *  not-run  nothing was sent, or the server rejected it with proof;
+ *  unknown  something was sent and no answer came.  Reported immediately when
+ *           the deadline passes or the server is considered lost.
  *
- * An attempt that may have left the process is never sent again, but for the
- * classes that are idempotent (retry.c).  Whom to take, what to send next and
- * how much at once is decided by load.c.
+ * An attempt that may have been sent is never retried unless its class is
+ * idempotent (retry.c).  load.c decides on admission, order and concurrency.
  */
 #include "server.h"
 
@@ -17,23 +16,25 @@
 #include "log.h"
 #include "metrics.h"
 
-/* Jobs.  Admission refuses long before; this bounds memory while a server's
- * work has not been measured yet. */
+/* Limit in jobs.  Admission rejects long before; this bounds memory use while
+ * the server's work times are not known yet. */
 #define QUEUE_MAX 2000
-#define MOVED_WAIT_MS 20 /* usual time of a move of ownership */
-/* A gap between two looks that is no tick of a busy process. */
-#define STANDSTILL_MIN (200 * CC_MS)
+#define MOVED_RETRY_AFTER_MS 20 /* usual duration of an ownership move */
+/* A longer gap between ticks means that this process was paused, not busy. */
+#define PAUSE_MIN (200 * CC_MS)
 
 static void on_attempt_done (const CcAttemptResult *result, gpointer data);
 
-/* The name under which a once-only attempt in progress is found. */
+/* Returns the key in CcServerShared.first_attempts of a once-only attempt; the
+ * caller frees it. */
 char *
 cc_first_attempt_name (const char *pool, guint slice, const char *idempotency)
 {
   return g_strdup_printf ("%s/%u/%s", pool, slice, idempotency);
 }
 
-/* Makes the tables and counters of SHARED that are this module's own. */
+/* Creates the waiters and metrics of SHARED; its other members are the
+ * caller's. */
 void
 cc_server_shared_init (CcServerShared *shared)
 {
@@ -45,15 +46,14 @@
   cc_histograms_init (&shared->service, "capercrank_service_seconds");
 }
 
-/* Whether work may be accepted for, and sent to, S at NOW as far as the lease
- * goes. */
+/* Whether the lease allows work to be accepted for S and sent to it at NOW. */
 gboolean
 cc_server_may_serve (const CcServer *s, gint64 now)
 {
   return s->holding->keeps || cc_tenure_is_valid (s->shared->tenure, now);
 }
 
-/* A server with an empty queue; takes over the caller's reference to H. */
+/* Returns a server with an empty queue.  Takes the caller's reference to H. */
 CcServer *
 cc_server_new (CcServerShared *shared, CcHolding *h)
 {
@@ -68,10 +68,10 @@
 }
 
 static void
-remember (CcServer *s, const CcJob *j, const CcMsgReply *r)
+record_outcome (CcServer *s, const CcJob *j, const CcMsgReply *r)
 {
   g_autofree char *name = NULL;
-  CcRemembered kept = { r->outcome, r->status, r->headers, r->body };
+  CcRemembered record = { r->outcome, r->status, r->headers, r->body };
 
   if (!j->once_only)
     return;
@@ -81,7 +81,7 @@
     cc_outcomes_forget (s->shared->outcomes, j->pool, j->slice, j->idempotency);
   else
     cc_outcomes_finish (s->shared->outcomes, j->pool, j->slice, j->idempotency,
-                        &kept);
+                        &record);
 }
 
 static void
@@ -89,20 +89,20 @@
 {
   if (j->state == CC_JOB_ENDED)
     return;
-  remember (s, j, r);
+  record_outcome (s, j, r);
   cc_waiters_forget (s->shared->waiters, j);
   cc_job_answer (j, s->shared->mailbox, r);
   cc_timer_stop (&j->timer);
 }
 
 static void
-end_not_run (CcServer *s, CcJob *j, const char *reason, guint32 wait_ms,
+end_not_run (CcServer *s, CcJob *j, const char *reason, guint32 retry_after_ms,
              gboolean reroute)
 {
   CcMsgReply r = { .outcome = CC_OUTCOME_NOT_RUN,
                    .reroute = reroute,
                    .reason = reason,
-                   .retry_after = wait_ms };
+                   .retry_after = retry_after_ms };
 
   end_job (s, j, &r);
 }
@@ -116,12 +116,12 @@
 }
 
 static guint32
-wait_ms (const CcServer *s)
+retry_after_ms (const CcServer *s)
 {
   return cc_load_wait_ms (&s->load, cc_clock_now ());
 }
 
-/* Ends J, which nothing was sent for, and frees it. */
+/* Ends queued job J, of which nothing was sent, with not-run and frees it. */
 static void
 drop_queued (CcServer *s, CcJob *j, const char *reason, guint32 after_ms,
              gboolean reroute)
@@ -139,7 +139,7 @@
 
   if (j->state == CC_JOB_QUEUED)
     {
-      drop_queued (s, j, "deadline", wait_ms (s), FALSE);
+      drop_queued (s, j, "deadline", retry_after_ms (s), FALSE);
       return;
     }
   end_unknown (s, j, "deadline");
@@ -147,7 +147,7 @@
 }
 
 static void
-describe (CcJob *j, const CcClass *class, gint64 left)
+init_waiting (CcJob *j, const CcClass *class, gint64 left)
 {
   CcWaiting *w = &j->waiting;
 
@@ -163,8 +163,8 @@
   w->item = j;
 }
 
-/* Takes J of CLASS, whose holding must be this server's, into the queue, or
- * refuses it at once. */
+/* Queues J of CLASS, whose slice this server must hold, or rejects it
+ * immediately.  S takes ownership of J. */
 void
 cc_server_submit (CcServer *s, CcJob *j, const CcClass *class)
 {
@@ -173,11 +173,11 @@
 
   j->owner = s;
   j->holding = cc_holding_ref (s->holding);
-  describe (j, class, left);
+  init_waiting (j, class, left);
   if (cc_queue_length (&s->load.queue) < QUEUE_MAX)
     offer = cc_load_offer (&s->load, &j->waiting, cc_clock_now ());
   else
-    offer.retry_after = wait_ms (s);
+    offer.retry_after = retry_after_ms (s);
   if (!offer.admitted)
     {
       drop_queued (s, j, offer.reason, offer.retry_after, FALSE);
@@ -196,21 +196,22 @@
                        cc_mailbox_next_id (s->shared->mailbox));
   const CcHeldSlice *slice =
       g_hash_table_lookup (s->holding->slices, GUINT_TO_POINTER (j->slice));
-  CcUpstreamRequest o = { .address = s->holding->address,
-                          .method = j->method,
-                          .path = j->path,
-                          .headers = j->headers,
-                          .body = j->body,
-                          .deadline = j->deadline,
-                          .term = s->holding->term,
-                          .slice = j->slice,
-                          .epoch = slice->epoch,
-                          .run_id = run_id,
-                          .once_only = j->once_only,
-                          .fresh = j->waiting.tries > 1 };
+  CcUpstreamRequest request = { .address = s->holding->address,
+                                .method = j->method,
+                                .path = j->path,
+                                .headers = j->headers,
+                                .body = j->body,
+                                .deadline = j->deadline,
+                                .term = s->holding->term,
+                                .slice = j->slice,
+                                .epoch = slice->epoch,
+                                .run_id = run_id,
+                                .once_only = j->once_only,
+                                .fresh = j->waiting.tries > 1 };
 
   j->sent = cc_clock_now ();
-  j->attempt = cc_upstream_send (s->shared->upstream, &o, on_attempt_done, j);
+  j->attempt =
+      cc_upstream_send (s->shared->upstream, &request, on_attempt_done, j);
   if (j->attempt == NULL)
     {
       cc_load_done (&s->load, &j->waiting, CC_LOAD_UNSENT, j->sent);
@@ -233,8 +234,8 @@
   return cc_holding_may_send (s->holding, w->slice, cc_clock_now ());
 }
 
-/* Sends what may be sent.  The lease is checked before every single send: the
- * process may have been paused since the last. */
+/* Sends queued jobs while load and lease allow.  The lease is checked before
+ * each send, since the process may have been paused after the previous one. */
 void
 cc_server_pump (CcServer *s)
 {
@@ -252,7 +253,8 @@
     }
 }
 
-/* Tries again what FAILED if the class, the budget and the time allow it. */
+/* Queues J again after failure FAILED if its class, the retry budget and the
+ * time allow.  Returns whether it did. */
 static gboolean
 retry (CcServer *s, CcJob *j, CcFailure failed)
 {
@@ -267,7 +269,8 @@
   return TRUE;
 }
 
-/* Returns FALSE if J waits again. */
+/* Ends J according to RESULT, or retries it.  Returns FALSE if J is queued
+ * again. */
 static gboolean
 answer_result (CcServer *s, CcJob *j, const CcAttemptResult *result)
 {
@@ -283,17 +286,17 @@
       end_job (s, j, &r);
       return TRUE;
     case CC_ATTEMPT_FENCED:
-      end_not_run (s, j, "fenced", MOVED_WAIT_MS, TRUE);
+      end_not_run (s, j, "fenced", MOVED_RETRY_AFTER_MS, TRUE);
       return TRUE;
     case CC_ATTEMPT_SHED:
       if (retry (s, j, CC_FAIL_NOT_RUN))
         return FALSE;
-      end_not_run (s, j, "shed", wait_ms (s), FALSE);
+      end_not_run (s, j, "shed", retry_after_ms (s), FALSE);
       return TRUE;
     case CC_ATTEMPT_UNSENT:
       if (retry (s, j, CC_FAIL_NOT_RUN))
         return FALSE;
-      end_not_run (s, j, "unreachable", wait_ms (s), FALSE);
+      end_not_run (s, j, "unreachable", retry_after_ms (s), FALSE);
       return TRUE;
     case CC_ATTEMPT_LOST:
       if (retry (s, j, CC_FAIL_UNKNOWN))
@@ -350,9 +353,10 @@
     cc_job_free (j);
 }
 
-/* Gives back what waits for slices that are no longer owned. */
+/* Ends queued jobs for slices that are not owned; their entries send them to
+ * the new owner. */
 static void
-flush_moved (CcServer *s)
+reroute_moved (CcServer *s)
 {
   g_autoptr (GPtrArray) items = cc_queue_items (&s->load.queue);
 
@@ -361,7 +365,7 @@
       CcJob *j = ((CcWaiting *) items->pdata[i])->item;
 
       if (!cc_holding_owns (s->holding, j->slice))
-        drop_queued (s, j, "moved", MOVED_WAIT_MS, TRUE);
+        drop_queued (s, j, "moved", MOVED_RETRY_AFTER_MS, TRUE);
     }
 }
 
@@ -375,19 +379,19 @@
                  reroute);
 }
 
-/* To be called after the holding changed: gives back what it no longer owns,
- * and sees to a grant for what is new. */
+/* Must be called after the holding changed: ends queued jobs for slices that it
+ * does not own and sends a grant for new ones. */
 void
 cc_server_updated (CcServer *s)
 {
-  flush_moved (s);
+  reroute_moved (s);
   s->grant_due = 0;
   s->report_due = 0;
   cc_server_tick (s, cc_clock_now ());
 }
 
 static void
-lose_sent (CcServer *s)
+end_sent_unknown (CcServer *s)
 {
   GList *jobs = g_hash_table_get_keys (s->sent);
 
@@ -401,27 +405,29 @@
   g_list_free (jobs);
 }
 
-/* Counts out the time in which this process did not look, or had no lease and
- * so sent neither grants nor probes that the server could answer. */
+/* Excludes from the server's silence the time in which this process was paused,
+ * or had no lease and so sent no grants or probes that the server could answer.
+ */
 static void
-skip_standstill (CcServer *s, gint64 now)
+exclude_pause (CcServer *s, gint64 now)
 {
-  gint64 gap = s->ticked != 0 ? now - s->ticked : 0;
-  gboolean asked = s->asked;
+  gint64 gap = s->last_tick != 0 ? now - s->last_tick : 0;
+  gboolean contacted = s->contacted;
 
-  s->ticked = now;
-  s->asked = cc_server_may_serve (s, now);
-  if (gap >= STANDSTILL_MIN || !asked)
+  s->last_tick = now;
+  s->contacted = cc_server_may_serve (s, now);
+  if (gap >= PAUSE_MIN || !contacted)
     cc_holding_stood_still (s->holding, gap);
-  if (gap >= STANDSTILL_MIN)
+  if (gap >= PAUSE_MIN)
     cc_load_stood_still (&s->load, gap);
 }
 
-/* Looks at the server's health and grant at NOW.  Called every 20 ms or so. */
+/* Checks the server's health, connections and grant at NOW and sends jobs.
+ * Called about every 20 ms. */
 void
 cc_server_tick (CcServer *s, gint64 now)
 {
-  skip_standstill (s, now);
+  exclude_pause (s, now);
   if (cc_holding_judge (s->holding, now))
     {
       cc_log (CC_LOG_WARNING, "server", "%s/%s is %s", s->holding->pool,
@@ -429,18 +435,18 @@
       s->report_due = 0;
       if (s->holding->lost)
         {
-          lose_sent (s);
-          flush_all (s, "moved", MOVED_WAIT_MS, TRUE);
+          end_sent_unknown (s);
+          flush_all (s, "moved", MOVED_RETRY_AFTER_MS, TRUE);
         }
     }
   if (cc_load_stalled (&s->load, now))
-    flush_all (s, "stalled", wait_ms (s), FALSE);
+    flush_all (s, "stalled", retry_after_ms (s), FALSE);
   cc_server_check_connections (s, now);
   cc_server_renew_grant (s, now);
   cc_server_pump (s);
 }
 
-/* The request in M is a repeat of J's and gets its answer, too. */
+/* Makes the request in M, a repeat of J's, receive the same answer. */
 void
 cc_server_join (CcServerShared *shared, CcJob *j, const CcMessage *m)
 {
@@ -448,10 +454,10 @@
   cc_waiters_add (shared->waiters, j);
 }
 
-/* The last waiter of J went away.  Once-only work at the server goes on: its
- * outcome is wanted for the repeat. */
+/* Cancels J, whose last waiter has disconnected.  A once-only attempt at the
+ * server continues, since its outcome is needed for a repeat. */
 static void
-abandon (CcJob *j)
+cancel_job (CcJob *j)
 {
   CcServer *s = j->owner;
 
@@ -471,26 +477,27 @@
     }
 }
 
-/* The caller of request ID went away. */
+/* Cancels request ID of the entry INCARNATION, whose caller disconnected. */
 void
 cc_server_cancel (CcServerShared *shared, guint64 incarnation, guint64 id)
 {
   CcJob *j = cc_waiters_take (shared->waiters, incarnation, id);
 
   if (j != NULL && cc_job_drop_waiter (j, incarnation, id))
-    abandon (j);
+    cancel_job (j);
 }
 
-/* Gives the queue back and lets go.  Attempts at the server end by themselves,
- * their outcome is said to be unknown now. */
+/* Frees S.  Queued jobs are returned to their entries as moved.  Attempts in
+ * progress are cancelled with outcome unknown; their callbacks run later,
+ * without S. */
 void
 cc_server_free (CcServer *s)
 {
   GHashTableIter iter;
   gpointer job;
 
-  flush_all (s, "moved", MOVED_WAIT_MS, TRUE);
-  lose_sent (s);
+  flush_all (s, "moved", MOVED_RETRY_AFTER_MS, TRUE);
+  end_sent_unknown (s);
   g_hash_table_iter_init (&iter, s->sent);
   while (g_hash_table_iter_next (&iter, &job, NULL))
     ((CcJob *) job)->owner = NULL;
--- a/server.h
+++ b/server.h
@@ -1,4 +1,4 @@
-/* A held server at work: its queue, its limit, its grants. */
+/* A server held by this dispatcher: its queue, attempts and grants. */
 #ifndef CC_SERVER_H
 #define CC_SERVER_H
 
@@ -15,7 +15,7 @@
 #include "upstream.h"
 #include "waiters.h"
 
-/* What all servers of a dispatcher share. */
+/* State shared by all servers of a dispatcher. */
 typedef struct
 {
   CcMailbox *mailbox;
@@ -24,30 +24,30 @@
   CcOutcomes *outcomes;
   GHashTable *first_attempts; /* "pool/slice/idempotency key" to CcJob */
   GHashTable *waiters;        /* CcWaiter to the CcJob that will answer it */
-  CcCounter *hedged;          /* attempts given up for a fresh one */
-  CcCounter *retried;         /* attempts made again */
-  CcCounter *pools_dropped;   /* silent kept connections to a server */
-  CcHistograms wait;          /* in the queue, by class and by tenant */
-  CcHistograms service;       /* in the server, the same */
+  CcCounter *hedged;          /* attempts cancelled in favour of a new one */
+  CcCounter *retried;         /* attempts retried */
+  CcCounter *pools_dropped; /* drops of a server's silent pooled connections */
+  CcHistograms wait;        /* time in the queue, by class and by tenant */
+  CcHistograms service;     /* time in the server, by class and by tenant */
 } CcServerShared;
 
 typedef struct
 {
   CcServerShared *shared;
   CcHolding *holding;
-  CcUnitMeter *meter; /* loads of its units, for the assigner */
-  CcLoad load;        /* jobs in state QUEUED, and what may be sent */
+  CcUnitMeter *meter; /* load of its units, for the assigner */
+  CcLoad load;        /* jobs in state QUEUED, and the concurrency limit */
   GHashTable *sent;   /* set of CcJob in state SENT */
   gboolean granting;  /* a grant or probe is in progress */
-  gint64 grant_due;   /* when the next is to be sent, us */
+  gint64 grant_due;   /* time of the next one, us */
   CcConnectionHealth connections;
-  gint64 ticked;     /* last look at it, us; 0: none */
-  gboolean asked;    /* the lease stood then, so the server is asked */
-  gboolean closed;   /* freed when the grant's callback has run */
-  guint64 reported;  /* applied version last reported */
-  guint64 taking;    /* newest map version that takes units away; 0: none */
-  gint64 taking_at;  /* when it was read, us */
-  gint64 report_due; /* when the next report is to be sent, us */
+  gint64 last_tick;         /* last cc_server_tick, us; 0: none */
+  gboolean contacted;       /* lease valid then: grants or probes were sent */
+  gboolean closed;          /* to be freed by the callback of the grant */
+  guint64 applied_reported; /* applied map version last reported */
+  guint64 removal_version;  /* newest map version that removes units; 0: none */
+  gint64 removal_read_at;   /* when that was read, us */
+  gint64 report_due;        /* time of the next report, us */
 } CcServer;
 
 gboolean cc_server_may_serve (const CcServer *s, gint64 now);
--- a/test/test_server.c
+++ b/test/test_server.c
@@ -1,5 +1,6 @@
-/* A dispatcher's work on one held server: a raw upstream on loopback, whose
- * answers the cases script, and an entry's mailbox. */
+/* Guards against wrong outcomes of work on one server: not-run after a lost
+ * attempt, and a server considered lost after a pause or a lapsed lease.  An
+ * upstream on loopback follows a script per case. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,13 +20,13 @@
 #define DISPATCHER 22
 #define HOLDER "d"
 #define PORT 7400
-#define ANSWERED_WITHIN_MS 2000 /* the request's deadline */
+#define DEADLINE_MS 2000 /* the request's deadline */
 
-/* What the upstream does with its first attempt and with later ones. */
+/* How the upstream handles an attempt. */
 typedef enum
 {
-  RUNS_AND_CLOSES, /* no answer arrives */
-  SHEDS,           /* says that it was not run */
+  RUNS_AND_CLOSES, /* runs it, sends no answer */
+  SHEDS,           /* answers not-run */
   ANSWERS
 } Behaviour;
 
@@ -35,7 +36,7 @@
   Behaviour first;
   Behaviour later;
   gboolean once_only;
-  CcOutcome told;
+  CcOutcome expected;
 } Case;
 
 static const Case cases[] = {
@@ -50,15 +51,15 @@
 
 static struct
 {
-  const Case *playing;
+  const Case *current;
   guint attempts;
-  guint told; /* answers */
+  guint replies; /* received by the entry */
   CcOutcome outcome;
   CcMailbox *entry;
   char *entry_address;
   char *upstream_address;
   CcServerShared shared;
-} rig;
+} fixture;
 
 static void
 on_read (GObject *source, GAsyncResult *result, gpointer data)
@@ -66,7 +67,8 @@
   g_autoptr (GSocketConnection) c = data;
   g_autoptr (GBytes) got =
       g_input_stream_read_bytes_finish (G_INPUT_STREAM (source), result, NULL);
-  Behaviour b = rig.attempts++ == 0 ? rig.playing->first : rig.playing->later;
+  Behaviour b =
+      fixture.attempts++ == 0 ? fixture.current->first : fixture.current->later;
   const char *text = b == SHEDS
                          ? "HTTP/1.1 503 Busy\r\n" CC_HDR_OUTCOME
                            ": not-run\r\nContent-Length: 0\r\n\r\n"
@@ -97,8 +99,8 @@
   (void) data;
   if (m->kind != CC_MSG_REPLY)
     return;
-  rig.told++;
-  rig.outcome = m->u.reply.outcome;
+  fixture.replies++;
+  fixture.outcome = m->u.reply.outcome;
 }
 
 static void
@@ -128,7 +130,7 @@
       g_inet_socket_address_new_from_string (ip, PORT);
   GSocketService *service = g_socket_service_new ();
 
-  rig.upstream_address = g_strdup_printf ("%s:%u", ip, PORT);
+  fixture.upstream_address = g_strdup_printf ("%s:%u", ip, PORT);
   assert_true (g_socket_listener_add_address (
       G_SOCKET_LISTENER (service), at, G_SOCKET_TYPE_STREAM,
       G_SOCKET_PROTOCOL_TCP, NULL, NULL, NULL));
@@ -139,31 +141,31 @@
 start (void **state)
 {
   guint net = free_net ();
-  char *mine = NULL;
+  char *address = NULL;
 
   (void) state;
-  rig.entry = open_mailbox (net, 1, ENTRY, &rig.entry_address);
-  rig.shared.mailbox = open_mailbox (net, 2, DISPATCHER, &mine);
-  rig.shared.upstream = cc_upstream_new (mine);
-  rig.shared.tenure = g_new0 (CcTenure, 1);
-  rig.shared.tenure->id = g_strdup (HOLDER);
-  rig.shared.outcomes = cc_outcomes_new ();
-  rig.shared.first_attempts =
+  fixture.entry = open_mailbox (net, 1, ENTRY, &fixture.entry_address);
+  fixture.shared.mailbox = open_mailbox (net, 2, DISPATCHER, &address);
+  fixture.shared.upstream = cc_upstream_new (address);
+  fixture.shared.tenure = g_new0 (CcTenure, 1);
+  fixture.shared.tenure->id = g_strdup (HOLDER);
+  fixture.shared.outcomes = cc_outcomes_new ();
+  fixture.shared.first_attempts =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  cc_server_shared_init (&rig.shared);
+  cc_server_shared_init (&fixture.shared);
   open_upstream (net);
-  g_free (mine);
+  g_free (address);
   return 0;
 }
 
-/* A server that this process holds, of the only slice. */
+/* Returns a server of the only slice, held by this process. */
 static CcServer *
 server_new (void)
 {
   CcSliceMap *m = cc_slicemap_new (POOL, 1);
   CcHolding *h;
 
-  cc_slicemap_add (m, "catalogue-1", rig.upstream_address, "a");
+  cc_slicemap_add (m, "catalogue-1", fixture.upstream_address, "a");
   m->version = 1;
   g_free (cc_slicemap_server (m, 0)->dispatcher);
   cc_slicemap_server (m, 0)->dispatcher = g_strdup (HOLDER);
@@ -174,7 +176,7 @@
   cc_holding_update (h, m, 0, HOLDER);
   h->keeps = TRUE;
   cc_slicemap_free (m);
-  return cc_server_new (&rig.shared, h);
+  return cc_server_new (&fixture.shared, h);
 }
 
 static CcJob *
@@ -183,61 +185,61 @@
   CcMessage m = { .kind = CC_MSG_REQUEST,
                   .from = ENTRY,
                   .id = 1,
-                  .reply_to = rig.entry_address };
+                  .reply_to = fixture.entry_address };
   g_autoptr (GVariant) headers = cc_headers_take (g_string_new (NULL));
   g_autoptr (GBytes) body = g_bytes_new_static ("", 0);
 
-  m.u.request = (CcMsgRequest){ .class_name = "browse",
-                                .tenant = "t",
-                                .idempotency = "",
-                                .method = "GET",
-                                .path = "/",
-                                .headers = headers,
-                                .body = body,
-                                .deadline = cc_clock_wall () +
-                                            ANSWERED_WITHIN_MS * CC_MS };
+  m.u.request =
+      (CcMsgRequest){ .class_name = "browse",
+                      .tenant = "t",
+                      .idempotency = "",
+                      .method = "GET",
+                      .path = "/",
+                      .headers = headers,
+                      .body = body,
+                      .deadline = cc_clock_wall () + DEADLINE_MS * CC_MS };
   return cc_job_new (&m, POOL, once_only, 0);
 }
 
 static void
-play (const Case *c)
+run_case (const Case *c)
 {
   CcClass class = { .name = (char *) "browse",
                     .pool = (char *) POOL,
                     .once_only = c->once_only,
                     .within = CC_SECOND };
-  gint64 end = cc_clock_now () + ANSWERED_WITHIN_MS * CC_MS;
+  gint64 end = cc_clock_now () + DEADLINE_MS * CC_MS;
   CcServer *s = server_new ();
 
-  rig.playing = c;
-  rig.attempts = rig.told = 0;
+  fixture.current = c;
+  fixture.attempts = fixture.replies = 0;
   cc_server_submit (s, job_new (c->once_only), &class);
-  while (rig.told == 0 && cc_clock_now () < end)
+  while (fixture.replies == 0 && cc_clock_now () < end)
     {
       cc_server_pump (s);
       g_main_context_iteration (NULL, FALSE);
       g_usleep (1000);
     }
-  assert_int_equal (rig.told, 1);
-  if (rig.outcome != c->told)
-    fail_msg ("%s: told %s", c->name, cc_outcome_name (rig.outcome));
+  assert_int_equal (fixture.replies, 1);
+  if (fixture.outcome != c->expected)
+    fail_msg ("%s: outcome %s", c->name, cc_outcome_name (fixture.outcome));
   cc_server_free (s);
 }
 
-/* Guards against "not-run" for work whose first attempt ran and was lost, and
- * whose second was refused. */
+/* Guards against not-run for a job whose first attempt ran and was lost and
+ * whose second was rejected. */
 static void
-a_lost_attempt_is_not_denied_by_the_next (void **state)
+lost_attempt_is_not_reported_not_run (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
-    play (&cases[i]);
+    run_case (&cases[i]);
 }
 
-/* Guards against a server that is lost, and work that is told unknown, since
- * the dispatcher itself stood still. */
+/* Guards against a server considered lost, and outcomes unknown, because the
+ * dispatcher itself was paused. */
 static void
-a_standstill_of_the_dispatcher_is_not_the_servers (void **state)
+dispatcher_pause_does_not_lose_server (void **state)
 {
   static const Case answers = { "", ANSWERS, ANSWERS, TRUE, CC_OUTCOME_RUN };
   CcClass class = { .name = (char *) "browse",
@@ -248,17 +250,17 @@
   CcServer *s = server_new ();
 
   (void) state;
-  rig.playing = &answers;
-  rig.told = 0;
+  fixture.current = &answers;
+  fixture.replies = 0;
   cc_holding_answered (s->holding, now);
   cc_server_submit (s, job_new (TRUE), &class);
   cc_server_tick (s, now);
   cc_server_tick (s, now + CC_SERVER_LOST_AFTER + 100 * CC_MS);
   assert_false (s->holding->lost);
-  while (rig.told == 0 && cc_clock_now () < now + ANSWERED_WITHIN_MS * CC_MS)
+  while (fixture.replies == 0 && cc_clock_now () < now + DEADLINE_MS * CC_MS)
     g_main_context_iteration (NULL, TRUE);
-  assert_int_equal (rig.outcome, CC_OUTCOME_RUN);
-  /* Without an answer it is lost all the same, as long after that. */
+  assert_int_equal (fixture.outcome, CC_OUTCOME_RUN);
+  /* Without an answer it is lost the same time after that. */
   now += CC_SERVER_LOST_AFTER + 100 * CC_MS;
   for (guint i = 0; i < 60; i++)
     cc_server_tick (s, now += 20 * CC_MS);
@@ -266,13 +268,13 @@
   cc_server_free (s);
 }
 
-/* Guards against "lost" servers, and unknown outcomes, after a moment without a
- * lease, in which nothing was asked of them. */
+/* Guards against lost servers, and outcomes unknown, after a short time without
+ * a lease, in which they received no grants or probes. */
 static void
-a_lease_that_lapses_is_not_the_servers (void **state)
+lapsed_lease_does_not_lose_server (void **state)
 {
   CcServer *s = server_new ();
-  CcLease *lease = &rig.shared.tenure->lease;
+  CcLease *lease = &fixture.shared.tenure->lease;
   gint64 before = lease->valid_until;
   gint64 now = cc_clock_now ();
 
@@ -299,9 +301,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_lost_attempt_is_not_denied_by_the_next),
-    cmocka_unit_test (a_standstill_of_the_dispatcher_is_not_the_servers),
-    cmocka_unit_test (a_lease_that_lapses_is_not_the_servers),
+    cmocka_unit_test (lost_attempt_is_not_reported_not_run),
+    cmocka_unit_test (dispatcher_pause_does_not_lose_server),
+    cmocka_unit_test (lapsed_lease_does_not_lose_server),
   };
 
   return cmocka_run_group_tests (tests, start, NULL);
