--- a/connections.c
+++ b/connections.c
@@ -17,6 +17,7 @@
                          CC_FAIL_UNKNOWN, j->waiting.tries);
 }
 
+/* Returns the oldest replaceable attempt's job, or NULL. */
 static CcJob *
 oldest_replaceable (CcServer *s)
 {
--- a/dispatch.c
+++ b/dispatch.c
@@ -60,6 +60,8 @@
   (void) address, (void) up, (void) data;
 }
 
+/* Notifies the transfer of attempt records of the slices that M assigns to this
+ * dispatcher. */
 static void
 update_transfers (CcDispatcher *d, const CcSliceMap *m)
 {
@@ -73,6 +75,8 @@
     }
 }
 
+/* Starts to hold the server MAP_SERVER of M.  Unless this is its first term, a
+ * previous holder's work may still run until QUIET_AT. */
 static CcServer *
 add_server (CcDispatcher *d, const CcSliceMap *m, const CcMapServer *map_server)
 {
@@ -105,6 +109,8 @@
   g_hash_table_remove (d->servers, key);
 }
 
+/* Whether the pool NAME is configured to be served without a lease, see
+ * cut_off.c. */
 static gboolean
 serves_without_lease (const CcDispatcher *d, const char *name)
 {
@@ -113,6 +119,8 @@
   return pool != NULL && pool->cut_off == CC_CUT_OFF_KEEP;
 }
 
+/* Notes and logs that M removes units from server INDEX, so that reports.c logs
+ * when their work has stopped. */
 static void
 track_removed_units (CcServer *s, const CcSliceMap *m, gint32 index)
 {
@@ -157,6 +165,7 @@
   cc_server_updated (s);
 }
 
+/* Removes the servers of M's pool that M does not list. */
 static void
 remove_unlisted (CcDispatcher *d, const CcSliceMap *m)
 {
@@ -205,6 +214,8 @@
   on_view_changed (d->follower, d);
 }
 
+/* While draining: closes the tenure once all servers are handed over, and exits
+ * when it is closed or after DRAIN_MAX. */
 static void
 continue_shutdown (CcDispatcher *d, gint64 now)
 {
@@ -219,6 +230,7 @@
   exit (0);
 }
 
+/* Passes the state of the view to the tenure and runs the lease's voting. */
 static void
 update_lease (CcDispatcher *d, gint64 now)
 {
@@ -267,6 +279,7 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Returns why this dispatcher is not ready, or NULL if it is. */
 static const char *
 why_not_ready (gpointer data)
 {
--- a/entry.c
+++ b/entry.c
@@ -61,6 +61,8 @@
   gboolean answered;
 } CallerRequest;
 
+/* Answers M with STATUS and a JSON body and headers that give OUTCOME, the
+ * one-word REASON and, if WAIT_MS is not 0, the retry time. */
 static void
 answer_outcome (SoupServerMessage *m, guint status, CcOutcome outcome,
                 const char *reason, const char *text, guint32 wait_ms)
@@ -85,6 +87,7 @@
   cc_http_answer (m, status, "application/json", body);
 }
 
+/* Returns the counters of CLASS, creating them on first use. */
 static Stats *
 find_stats (Entry *e, const char *class)
 {
@@ -107,6 +110,8 @@
   return s;
 }
 
+/* Counts the outcome of C and its latency, and whether it met the class's
+ * target.  Only requests that ran can meet it. */
 static void
 record_outcome (CallerRequest *c, CcOutcome outcome)
 {
@@ -119,6 +124,7 @@
     ++*c->stats->in_target;
 }
 
+/* Answers M with the server's response in R. */
 static void
 answer_run (SoupServerMessage *m, const CcMsgReply *r)
 {
@@ -144,6 +150,7 @@
                               SOUP_MEMORY_COPY, body, size);
 }
 
+/* Receives the outcome from the router and answers the caller. */
 static void
 on_outcome (const CcMsgReply *r, gpointer data)
 {
@@ -171,6 +178,8 @@
   soup_server_message_unpause (c->message);
 }
 
+/* Called when the exchange with the caller ends, answered or not.  Cancels a
+ * request still in progress and frees its state. */
 static void
 on_finished (SoupServerMessage *m, gpointer data)
 {
@@ -199,6 +208,8 @@
   on_outcome (&r, c);
 }
 
+/* Rejects a malformed request with the findings F as the message, and closes
+ * the connection. */
 static void
 reject_findings (SoupServerMessage *m, const CcFindings *f)
 {
@@ -220,6 +231,8 @@
   return value != NULL && value[0] != '\0' ? value : fallback;
 }
 
+/* Submits the checked request to the router and pauses M until the outcome
+ * arrives. */
 static void
 forward_request (Entry *e, SoupServerMessage *m,
                  const CcCheckedRequest *checked)
@@ -276,6 +289,7 @@
                   text, wait_ms);
 }
 
+/* Forwards M, or rejects it if it is malformed or its deadline has passed. */
 static void
 check_and_forward (Entry *e, SoupServerMessage *m)
 {
@@ -315,6 +329,7 @@
     check_and_forward (e, m);
 }
 
+/* Runs before the body is read, to limit its size. */
 static void
 on_headers (SoupServer *server, SoupServerMessage *m, const char *path,
             GHashTable *query, gpointer data)
@@ -351,6 +366,7 @@
   cc_router_link (e->router, address, up);
 }
 
+/* Returns why this entry is not ready for requests, or NULL if it is. */
 static const char *
 why_not_ready (gpointer data)
 {
@@ -363,6 +379,8 @@
   return g_hash_table_size (e->follower->maps) == 0 ? "no servers yet\n" : NULL;
 }
 
+/* Exits once DRAIN_MIN has passed and no request is pending, or after
+ * DRAIN_MAX. */
 static gboolean
 on_drain_timer (gpointer data)
 {
--- a/exchange.c
+++ b/exchange.c
@@ -47,6 +47,7 @@
                   : cc_pick_inside (&t->load, &e->typical, now);
 }
 
+/* Completes END with the data of E, frees E and calls its callback. */
 static void
 finish (CcExchange *e, CcEnd *end)
 {
@@ -136,6 +137,8 @@
     cc_pool_load_full (load, &e->target->load.in_pool, e->typical.any, now);
 }
 
+/* Records the end of E's attempt at its upstream in the load estimates and work
+ * times.  REPORT is the upstream's load report, or NULL. */
 static void
 release_target (CcExchange *e, CcPickEnd end, const CcLoadReport *report)
 {
@@ -183,6 +186,7 @@
   cc_forwarder_pump (f);
 }
 
+/* Returns E to its pool's backlog.  It is not sent again before DELAY, us. */
 static void
 requeue (CcExchange *e, gint64 delay)
 {
@@ -236,6 +240,8 @@
   requeue (e, 0);
 }
 
+/* Retries E after a reply that proves that it did not run: the upstream
+ * rejected it for its load, or does not own the key. */
 static void
 retry_not_run (CcExchange *e, const CcServerReply *reply)
 {
@@ -265,6 +271,8 @@
               cc_exchange_left (e, now) / 4);
 }
 
+/* Retries E after an attempt that may have run, if E is idempotent; otherwise
+ * ends it with unknown. */
 static void
 retry_unknown (CcExchange *e, const char *why)
 {
@@ -278,6 +286,8 @@
   requeue (e, e->keyed ? owner_retry_delay (e) : 0);
 }
 
+/* Passes the upstream's answer to the caller, or retries an idempotent request
+ * after a server error. */
 static void
 handle_answer (CcExchange *e, const CcHttpResult *r)
 {
@@ -299,6 +309,7 @@
   finish (e, &end);
 }
 
+/* Classifies an answered attempt for the load estimates. */
 static CcPickEnd
 pick_end (const CcHttpResult *r, const CcServerReply *reply)
 {
@@ -317,6 +328,7 @@
   return CC_PICK_FAILED;
 }
 
+/* Handles an HTTP response to E's attempt according to its kind. */
 static void
 handle_reply (CcExchange *e, const CcHttpResult *r)
 {
--- a/grants.c
+++ b/grants.c
@@ -5,6 +5,9 @@
 
 #include "clock.h"
 
+/* Handles the result of a grant or probe.  Any answer shows that the server is
+ * reachable.  The next call is due immediately after a probe that was answered,
+ * and if the slices changed while the grant was in progress. */
 static void
 on_granted (CcStatus status, guint64 serial, gint64 sent, gpointer data)
 {
--- a/intake.c
+++ b/intake.c
@@ -20,6 +20,8 @@
   return g_hash_table_lookup (d->servers, key);
 }
 
+/* Replies to the request in M with OUTCOME for REASON.  REROUTE makes the entry
+ * route it again. */
 static void
 reject (CcDispatcher *d, const CcMessage *m, CcOutcome outcome,
         const char *reason, guint32 retry_after_ms, gboolean reroute)
@@ -33,6 +35,7 @@
   cc_reply_send (d->mailbox, m->reply_to, m->from, m->id, &r);
 }
 
+/* Replies to a repeat with the recorded outcome of the first attempt. */
 static void
 answer_repeat (CcDispatcher *d, const CcMessage *m, const CcRemembered *record)
 {
@@ -46,6 +49,8 @@
   cc_reply_send (d->mailbox, m->reply_to, m->from, m->id, &r);
 }
 
+/* Makes a repeat receive the outcome of the first attempt in progress.  If that
+ * attempt is not here, its outcome is unknown. */
 static void
 join_first_attempt (CcDispatcher *d, const CcMessage *m, const char *pool,
                     guint slice)
@@ -60,6 +65,7 @@
     reject (d, m, CC_OUTCOME_UNKNOWN, "repeat", 0, FALSE);
 }
 
+/* Queues a job for the request in M, recording a once-only one first. */
 static void
 start_job (CcDispatcher *d, const CcMessage *m, CcServer *s,
            const CcClass *class, guint slice)
--- a/mailbox.c
+++ b/mailbox.c
@@ -69,7 +69,7 @@
   CcCounter *received;
   CcCounter *malformed; /* rejected by the codec */
   CcCounter *stale;     /* expired, or for another incarnation */
-  CcCounter *refused;   /* not sent: link full or down */
+  CcCounter *not_sent;  /* link full or down */
   CcCounter *silent;    /* links closed because pings went unanswered */
 };
 
@@ -120,6 +120,8 @@
 
 static void handle_ping (CcMailbox *box, const CcMessage *m);
 
+/* Decodes MSG and passes it to the receiver.  Malformed, expired and
+ * misaddressed messages are counted and dropped. */
 static void
 handle_message (CcMailbox *box, nng_msg *msg)
 {
@@ -155,6 +157,8 @@
   transmit (l->box, l, &m);
 }
 
+/* Sends a ping on L if one is due, or closes it if pings went unanswered for
+ * too long. */
 static void
 check_link (Link *l, gint64 now)
 {
@@ -216,6 +220,8 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Runs on the main loop: handles the messages and link changes that nng's
+ * threads queued. */
 static gboolean
 process_queues (gpointer data)
 {
@@ -238,7 +244,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Runs on nng's thread. */
+/* Runs on nng's thread.  Records the current connection of a link and queues
+ * the link for update_link. */
 static void
 on_pipe (nng_pipe pipe, nng_pipe_ev event, void *arg)
 {
@@ -271,7 +278,7 @@
   box->malformed = cc_metrics_counter ("capercrank_messages_damaged", "");
   box->stale = cc_metrics_counter ("capercrank_messages_stale", "");
   box->silent = cc_metrics_counter ("capercrank_links_silent", "");
-  box->refused = cc_metrics_counter ("capercrank_messages_refused", "");
+  box->not_sent = cc_metrics_counter ("capercrank_messages_refused", "");
 }
 
 /* Makes outgoing connections use the address that the process listens on, so
@@ -290,6 +297,8 @@
   memcpy (&box->source.s_in.sa_addr, g_inet_address_to_bytes (address), 4);
 }
 
+/* Opens the PULL socket at LISTEN and starts the first receive.  Returns an nng
+ * error, or 0. */
 static int
 start_listening (CcMailbox *box, const char *listen)
 {
@@ -346,6 +355,8 @@
   return NULL;
 }
 
+/* Returns the link to ADDRESS, creating it and starting to dial if there is
+ * none. */
 static Link *
 find_link (CcMailbox *box, const char *address)
 {
@@ -425,12 +436,16 @@
   transmit (box, l, &answer);
 }
 
+/* Whether a message may wait for a link.  A request may not, so that its entry
+ * learns immediately that it was not sent. */
 static gboolean
 may_be_queued (CcMessageKind kind)
 {
   return kind != CC_MSG_REQUEST;
 }
 
+/* Encodes M and passes it to nng without blocking.  CC_FULL means that nothing
+ * was sent. */
 static CcStatus
 transmit (CcMailbox *box, Link *l, CcMessage *m)
 {
@@ -444,7 +459,7 @@
   data = g_bytes_get_data (bytes, &size);
   if (nng_send (l->socket, (void *) data, size, NNG_FLAG_NONBLOCK) == 0)
     return CC_OK;
-  ++*box->refused;
+  ++*box->not_sent;
   return CC_FULL;
 }
 
@@ -467,7 +482,7 @@
 
   if (!may_be_queued (m->kind) && !reaches_recipient (l, m))
     {
-      ++*box->refused;
+      ++*box->not_sent;
       return CC_UNREACHABLE;
     }
   cc_link_used (&l->health, cc_clock_now ());
--- a/reports.c
+++ b/reports.c
@@ -11,6 +11,8 @@
 #define REPORT_PERIOD (200 * CC_MS)
 #define OUTCOMES_EXPIRE (5 * CC_SECOND) /* longer than a move */
 
+/* Returns the incarnation of the active assigner and sets *ADDRESS; 0 if the
+ * table names none. */
 static guint64
 find_assigner (CcDispatcher *d, char **address)
 {
@@ -28,6 +30,8 @@
                                                             0);
 }
 
+/* Sends the state and load of S to the assigner; APPLIED is the map version up
+ * to which removed work has stopped. */
 static void
 send_report (CcDispatcher *d, CcServer *s, guint64 applied)
 {
@@ -55,6 +59,8 @@
   cc_mailbox_send (d->mailbox, address, &m);
 }
 
+/* Sends one chunk of attempt records to the dispatcher TO.  CC_GONE: it is not
+ * a member. */
 static CcStatus
 send_outcomes (const char *to, const CcMsgOutcomes *o, gpointer data)
 {
@@ -85,6 +91,7 @@
                               send_outcomes, d);
 }
 
+/* Logs how long the work removed by the last such map version took to stop. */
 static void
 track_removal_done (CcServer *s, guint64 applied, gint64 now)
 {
--- a/router.c
+++ b/router.c
@@ -73,8 +73,8 @@
                         has come up since */
   gint64 park_until; /* us; 0: not parked before */
   gboolean once_only;
-  guint maybe_run; /* copies that may have run and whose reply is lost */
-  CcTimer timer;   /* fires at the deadline */
+  guint lost_copies; /* copies that may have run and whose reply is lost */
+  CcTimer timer;     /* fires at the deadline */
   char *class_name;
   char *pool;
   char *tenant;
@@ -144,6 +144,7 @@
   g_hash_table_insert (p->router->in_flight, &c->id, p);
 }
 
+/* Removes P from the router's tables and stops its timer. */
 static void
 untrack (CcPendingRequest *p)
 {
@@ -168,12 +169,14 @@
   g_free (p);
 }
 
+/* Ends P with REPLY and frees it.  Not-run becomes unknown if a copy whose
+ * reply was lost may have run. */
 static void
 finish (CcPendingRequest *p, const CcMsgReply *reply)
 {
   CcMsgReply r = *reply;
 
-  if (p->maybe_run > 0 && r.outcome == CC_OUTCOME_NOT_RUN)
+  if (p->lost_copies > 0 && r.outcome == CC_OUTCOME_NOT_RUN)
     r.outcome = CC_OUTCOME_UNKNOWN;
   untrack (p);
   p->done (&r, p->data);
@@ -204,6 +207,8 @@
                reason, retry_after_ms);
 }
 
+/* Ends a request at its deadline: unknown if a copy may be in progress,
+ * otherwise rejected. */
 static void
 on_deadline (gpointer data)
 {
@@ -231,9 +236,10 @@
 {
   if (p->once_only)
     return ONCE_ONLY_PARK_MAX;
-  return p->maybe_run > 0 ? RECONNECT_PARK_MAX : PARK_MAX;
+  return p->lost_copies > 0 ? RECONNECT_PARK_MAX : PARK_MAX;
 }
 
+/* Parks P until the view changes, checking again every PARK_RECHECK_MS. */
 static void
 park (CcPendingRequest *p)
 {
@@ -300,7 +306,7 @@
 {
   gint64 since = cc_mailbox_silent_since (p->router->mailbox, to->address);
 
-  return since != 0 && (p->once_only || p->maybe_run > 0) &&
+  return since != 0 && (p->once_only || p->lost_copies > 0) &&
          now < since + SILENT_WAIT_MAX;
 }
 
@@ -359,7 +365,7 @@
     default:
       if (awaits_silent_dispatcher (p, to, now) ||
           awaits_successor (p, to, now) ||
-          (p->maybe_run > 0 && now < p->park_until))
+          (p->lost_copies > 0 && now < p->park_until))
         {
           park (p);
           return TRUE;
@@ -401,6 +407,8 @@
   return route (p) ? p : NULL;
 }
 
+/* Asks the dispatcher of C to cancel the request, if a reply to C is awaited.
+ */
 static void
 cancel_copy (CcRouter *r, const Copy *c, gint64 deadline)
 {
@@ -437,7 +445,7 @@
       (r->outcome == CC_OUTCOME_UNKNOWN && c == &p->copy))
     return TRUE;
   if (c == &p->earlier && r->outcome == CC_OUTCOME_NOT_RUN)
-    p->maybe_run--;
+    p->lost_copies--;
   forget_copy (p, c);
   return p->state == REQUEST_SENT && p->copy.id == 0 && p->earlier.id == 0;
 }
@@ -468,7 +476,7 @@
       finish (p, &m->u.reply);
       return;
     }
-  p->maybe_run += m->u.reply.outcome != CC_OUTCOME_NOT_RUN;
+  p->lost_copies += m->u.reply.outcome != CC_OUTCOME_NOT_RUN;
   ++*r->rerouted;
   if (p->park_until != 0 && cc_clock_now () >= p->park_until)
     {
@@ -527,7 +535,7 @@
       return;
     }
   ++*p->router->resent;
-  p->maybe_run++;
+  p->lost_copies++;
   p->park_until = silent_since != 0 ? silent_since + SILENT_WAIT_MAX : 0;
   p->resend_at = 0;
   g_hash_table_remove (p->router->in_flight, &p->copy.id);
--- a/server.c
+++ b/server.c
@@ -67,6 +67,8 @@
   return s;
 }
 
+/* Records the outcome R of a once-only job for repeats.  Not-run deletes the
+ * record, so that a repeat is run. */
 static void
 record_outcome (CcServer *s, const CcJob *j, const CcMsgReply *r)
 {
@@ -84,6 +86,8 @@
                         &record);
 }
 
+/* Answers J's waiters with R and records the outcome.  J must still be freed.
+ */
 static void
 end_job (CcServer *s, CcJob *j, const CcMsgReply *r)
 {
@@ -131,6 +135,8 @@
   cc_job_free (j);
 }
 
+/* Ends a job at its deadline: not-run if it is queued, unknown if it was sent.
+ */
 static void
 on_deadline (gpointer data)
 {
@@ -146,6 +152,8 @@
   cc_attempt_cancel (j->attempt);
 }
 
+/* Fills in J's queue entry from its class and the time LEFT until its deadline,
+ * us. */
 static void
 init_waiting (CcJob *j, const CcClass *class, gint64 left)
 {
@@ -188,6 +196,7 @@
   cc_server_pump (s);
 }
 
+/* Sends J's next attempt to the server. */
 static void
 send_job (CcServer *s, CcJob *j)
 {
@@ -307,6 +316,7 @@
   return TRUE;
 }
 
+/* Classifies the end of an attempt for load.c. */
 static CcLoadEnd
 load_end (const CcJob *j, CcAttemptEnd end)
 {
@@ -325,6 +335,8 @@
   return CC_LOAD_UNSENT;
 }
 
+/* Handles the end of an attempt.  The server may have been freed meanwhile;
+ * then only the holding is updated. */
 static void
 on_attempt_done (const CcAttemptResult *result, gpointer data)
 {
@@ -369,6 +381,7 @@
     }
 }
 
+/* Ends all queued jobs with not-run for REASON. */
 static void
 flush_all (CcServer *s, const char *reason, guint32 after_ms, gboolean reroute)
 {
@@ -390,6 +403,7 @@
   cc_server_tick (s, cc_clock_now ());
 }
 
+/* Ends all jobs at the server with unknown and cancels their attempts. */
 static void
 end_sent_unknown (CcServer *s)
 {
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -1,5 +1,5 @@
 /* Runs the real entry process; this test acts as its dispatcher and its
- * callers. Guards against work done for callers that have disconnected,
+ * callers.  Guards against work done for callers that have disconnected,
  * malformed input that affects other callers, and wrong outcomes when a
  * dispatcher pauses. */
 #include <setjmp.h>
--- a/upstream.c
+++ b/upstream.c
@@ -91,6 +91,8 @@
   g_hash_table_remove (u->sessions, address);
 }
 
+/* Whether header NAME is forwarded end to end.  Hop-by-hop headers and those
+ * that this client sets are not. */
 static gboolean
 is_forwarded (const char *name)
 {
@@ -115,6 +117,8 @@
   soup_message_headers_replace (h, name, text);
 }
 
+/* Adds the caller's headers and those by which the server checks its grant and
+ * the deadline. */
 static void
 fill_headers (SoupMessageHeaders *h, const CcUpstreamRequest *request)
 {
@@ -132,6 +136,7 @@
   soup_message_headers_replace (h, CC_HDR_RUN_ID, request->run_id);
 }
 
+/* Returns the response headers to forward, packed. */
 static GVariant *
 collect_headers (SoupMessageHeaders *h)
 {
@@ -171,6 +176,8 @@
   return CC_ATTEMPT_SHED;
 }
 
+/* Ends an attempt.  A response that failed or is too large counts as lost if
+ * sending had started. */
 static void
 on_answer (GObject *source, GAsyncResult *result, gpointer data)
 {
@@ -257,6 +264,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Ends a grant or probe with CC_OK, CC_CONFLICT, or CC_UNKNOWN for any other
+ * result. */
 static void
 on_control_answer (GObject *source, GAsyncResult *result, gpointer data)
 {
@@ -278,6 +287,8 @@
   g_free (c);
 }
 
+/* Prepares a grant or probe on a new connection, cancelled after GRANT_TIMEOUT.
+ */
 static ControlCall *
 control_call (CcUpstream *u, const char *method, const CcHolding *h,
               const char *path, CcGrantDone done, gpointer data)
@@ -297,6 +308,7 @@
   return c;
 }
 
+/* Returns the JSON body of a grant; the caller frees it. */
 static char *
 grant_body (const CcHolding *h, const char *holder)
 {
--- a/wire.c
+++ b/wire.c
@@ -130,6 +130,7 @@
   return g_variant_get_data_as_bytes (v);
 }
 
+/* Returns the contents of V and drops the reference to it. */
 static GBytes *
 bytes_from_variant (GVariant *v)
 {
@@ -151,6 +152,7 @@
   r->body = bytes_from_variant (body);
 }
 
+/* Decodes a reply.  Returns FALSE if its outcome is out of range. */
 static gboolean
 decode_reply (GVariant *v, CcMsgReply *r)
 {
@@ -211,6 +213,7 @@
   return FALSE;
 }
 
+/* Decodes the envelope and then the payload, whose type must match the kind. */
 static CcStatus
 decode_envelope (GVariant *v, CcMessage *m)
 {
