--- a/dispatcher.h
+++ b/dispatcher.h
@@ -19,7 +19,7 @@
   CcTransfer *transfer; /* attempt records, between dispatchers */
   GHashTable *servers;  /* "pool/server" to CcServer */
   gint64 stop_at;       /* latest exit when draining, us; 0: not draining */
-  CcCounter *rejected;  /* requests for keys that are not held here */
+  CcCounter *rejected;  /* requests rejected before they were queued */
   CcCounter *repeats;   /* once-only requests answered from the records */
   CcCounter *cancelled;
   CcCounter *outcomes_received; /* record chunks from previous holders */
--- a/router.c
+++ b/router.c
@@ -379,9 +379,9 @@
   return TRUE;
 }
 
-/* Submits a request as SPEC describes.  DONE is called once with the outcome
- * unless the request is cancelled; if that happens before this returns, the
- * result is NULL. */
+/* Submits a request as SPEC describes.  DONE is called once with the outcome,
+ * possibly before this returns, in which case the result is NULL.  It is not
+ * called for a cancelled request. */
 CcPendingRequest *
 cc_router_submit (CcRouter *r, const CcCallerRequest *spec, CcRequestDone done,
                   gpointer data)
