--- a/entry.c
+++ b/entry.c
@@ -23,7 +23,8 @@
 #include "request_check.h"
 #include "settings.h"
 
-#define DRAIN_MIN (3 * CC_SECOND) /* the load balancer may still send */
+#define DRAIN_MIN (3 * CC_SECOND) /* by then the load balancer stops sending   \
+                                   */
 #define DRAIN_MAX (30 * CC_SECOND)
 #define STARTING_RETRY_AFTER_MS 1000 /* a dispatcher has responded by then */
 #define TENANT_DEFAULT "anonymous"
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -1,7 +1,6 @@
-/* Runs the real entry process; this test acts as its dispatcher and its
- * callers.  Guards against work done for callers that have disconnected,
- * malformed input that affects other callers, and wrong outcomes when a
- * dispatcher pauses. */
+/* Guards against work for disconnected callers, malformed input that affects
+ * other callers, and wrong outcomes when a dispatcher pauses.  Runs the real
+ * entry process; this test acts as its dispatcher and its callers. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -44,7 +43,7 @@
 
 static Fixture fixture;
 
-/* A slice map in which the server of DISPATCHER owns all keys. */
+/* Returns a slice map in which the server of DISPATCHER owns all keys. */
 static char *
 map_row (const char *dispatcher)
 {
