--- a/admin.h
+++ b/admin.h
@@ -1,4 +1,5 @@
-/* The HTTP port of a process for monitoring and operators. */
+/* The admin port of a process (metrics, health, operators), and the HTTP
+ * server and client that the programs share. */
 #ifndef CC_ADMIN_H
 #define CC_ADMIN_H
 
@@ -16,7 +17,7 @@
 void cc_http_answer (SoupServerMessage *m, guint status, const char *type,
                      const char *body);
 SoupSession *cc_http_client (const char *source, guint per_host);
-void cc_http_once (SoupMessage *m);
+void cc_http_use_new_connection (SoupMessage *m);
 void cc_run_until_signal (GSourceFunc stop, gpointer data);
 
 #endif
--- a/drain_api.h
+++ b/drain_api.h
@@ -1,4 +1,4 @@
-/* The operators' orders to drain a server and to use it again. */
+/* HTTP interface by which operators drain a server and undo it. */
 #ifndef CC_DRAIN_API_H
 #define CC_DRAIN_API_H
 
@@ -9,7 +9,7 @@
 
 void cc_drain_api_add (SoupServer *admin, CcFollower *f, CcPlatform *p,
                        const char *token);
-gboolean cc_drain_is_ordered (const CcView *v, const char *pool,
-                              const char *server);
+gboolean cc_drain_is_requested (const CcView *v, const char *pool,
+                                const char *server);
 
 #endif
--- a/hangup.h
+++ b/hangup.h
@@ -1,23 +1,23 @@
-/* Tells when the other end of a connection has gone. */
+/* Detects that the peer has closed a connection. */
 #ifndef CC_HANGUP_H
 #define CC_HANGUP_H
 
 #include <gio/gio.h>
 
-typedef void (*CcHangupGone) (gpointer data);
+typedef void (*CcHangupCallback) (gpointer data);
 
-/* One watched connection; lies inside its owner. */
+/* One watched connection, embedded in the struct that owns it. */
 typedef struct
 {
   gboolean watched;
-  guint index; /* in the list of all, if watched */
+  guint index; /* in the array of all watches, if watched */
   int file;
-  CcHangupGone gone;
+  CcHangupCallback gone;
   gpointer data;
 } CcHangup;
 
-gboolean cc_hangup_has (GSocket *socket);
-void cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupGone gone,
+gboolean cc_hangup_detected (GSocket *socket);
+void cc_hangup_watch (CcHangup *h, GSocket *socket, CcHangupCallback gone,
                       gpointer data);
 void cc_hangup_stop (CcHangup *h);
 
--- a/map_change.h
+++ b/map_change.h
@@ -1,11 +1,11 @@
-/* Says in words why a slice map changed. */
+/* Describes a change of a slice map, and whom it affects. */
 #ifndef CC_MAP_CHANGE_H
 #define CC_MAP_CHANGE_H
 
 #include "slicemap.h"
 
-GHashTable *cc_slicemap_concerned (const CcSliceMap *m,
-                                   const CcSliceMap *before);
-void cc_slicemap_note_reason (CcSliceMap *m, const CcSliceMap *before);
+GHashTable *cc_slicemap_affected_dispatchers (const CcSliceMap *m,
+                                              const CcSliceMap *before);
+void cc_slicemap_update_reason (CcSliceMap *m, const CcSliceMap *before);
 
 #endif
--- a/ownership_moves.h
+++ b/ownership_moves.h
@@ -1,25 +1,27 @@
-/* The safe steps by which servers change dispatchers and keys change servers.
- */
+/* Safe transitions by which servers change dispatchers and keys change
+ * servers. */
 #ifndef CC_OWNERSHIP_MOVES_H
 #define CC_OWNERSHIP_MOVES_H
 
-#include "move_stamps.h"
+#include "move_versions.h"
 #include "roster.h"
 #include "slicemap.h"
 
-/* What the server's dispatcher last reported. */
+/* The last report of the server's dispatcher. */
 typedef struct
 {
-  guint64 applied;  /* map version up to which it has stopped what must stop */
-  gboolean lost;    /* it finds the server silent */
-  char *dispatcher; /* who reported */
+  guint64 applied;  /* map version up to which everything that must stop has
+                       stopped; 0: unconfirmed */
+  gboolean lost;    /* the server is unreachable */
+  char *dispatcher; /* id of the reporting dispatcher */
 } CcServerReport;
 
 guint cc_moves_update (CcSliceMap *m, const CcRoster *roster,
-                       GHashTable *reports, const CcMoveStamps *stamps);
+                       GHashTable *reports,
+                       const CcMoveVersions *move_versions);
 gboolean cc_moves_can_own (const CcSliceMap *m, gint32 server);
-gboolean cc_moves_in_doubt (const CcSliceMap *m, gint32 server,
-                            GHashTable *reports);
+gboolean cc_moves_is_unconfirmed (const CcSliceMap *m, gint32 server,
+                                  GHashTable *reports);
 gboolean cc_moves_is_folded_into (const CcSliceMap *m, guint slice);
 gboolean cc_moves_may_redirect (const CcSliceMap *m, guint unit);
 void cc_moves_redirect (CcSliceMap *m, guint unit, gint32 to);
--- a/process.h
+++ b/process.h
@@ -1,9 +1,9 @@
-/* What the system says of this process. */
+/* Resource usage of this process. */
 #ifndef CC_PROCESS_H
 #define CC_PROCESS_H
 
 #include <glib.h>
 
-gint64 cc_process_resident (void);
+gint64 cc_process_resident_bytes (void);
 
 #endif
--- a/range_grant.c
+++ b/range_grant.c
@@ -174,9 +174,9 @@
 /* Sends REQUEST for X; DONE is called with the result.  Returns FALSE if it
  * cannot be sent. */
 static gboolean
-call_upstream (CcRangeGrant *x, CcHttpOrder *request, CcHttpDone done)
+call_upstream (CcRangeGrant *x, CcHttpRequest *request, CcHttpDone done)
 {
-  request->connect_within = CONNECT_TIMEOUT;
+  request->connect_timeout = CONNECT_TIMEOUT;
   request->idle_max = CONNECTION_IDLE_MAX;
   x->call_started_at = cc_clock_now ();
   x->call_pending = cc_http_send (x->shared->http, request, done, x) != NULL;
@@ -330,8 +330,8 @@
   const CcTarget *t = cc_targets_find (x->shared->targets, x->range->owner);
   CcKeyGrant key_grant = { x->range->owner, x->range->from, x->range->to,
                            x->range->fence, CC_GRANT_HOLD,  x->handoff };
-  CcHttpOrder request = { .answer_within = CALL_TIMEOUT,
-                          .connected_by = connected_by };
+  CcHttpRequest request = { .answer_timeout = CALL_TIMEOUT,
+                            .connected_by = connected_by };
   g_autoptr (GBytes) body = NULL;
   g_autofree char *headers = NULL;
   g_autofree char *message = NULL;
@@ -410,10 +410,10 @@
   g_autoptr (GBytes) body = NULL;
   g_autofree char *headers = cc_edge_release_head (&key_grant, &body);
   g_autofree char *message = add_host_header (headers, t->listing.address);
-  CcHttpOrder request = { .address = t->listing.address,
-                          .head = message,
-                          .body = body,
-                          .answer_within = RELEASE_TIMEOUT };
+  CcHttpRequest request = { .address = t->listing.address,
+                            .head = message,
+                            .body = body,
+                            .answer_timeout = RELEASE_TIMEOUT };
 
   call_upstream (x, &request, on_released);
 }
--- a/takeover.c
+++ b/takeover.c
@@ -1,13 +1,13 @@
-/* Watches the dispatchers' leases.  A lease is deleted, and its holder's
- * servers given to others, when
+/* Watches the dispatchers' leases, so that the servers of a lost dispatcher can
+ * be assigned to others.  A lease is deleted when
  *
- *  - its row has not changed for a term and a margin since it was first seen
- *    (lease.h); and
+ *  - its row has not changed for a term and a margin since that version was
+ *    first read (lease.h); and
  *  - a majority of the voters has released it (promise.h).
  *
- * The deletion checks the row's version, so a renewal that was just written and
- * the deletion exclude each other, and the version of the voters' row, so that
- * nobody is asked who doesn't vote any more. */
+ * The deletion checks the row's version, so that it fails if the lease was
+ * renewed meanwhile, and the version of the voters' row, so that it fails if
+ * the voters that released it are not the present ones. */
 #include "takeover.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
 #include "metrics.h"
 #include "voters.h"
 
-#define LEASE "lease/"
+#define LEASE_PREFIX "lease/"
 #define VOTERS_ROW "voters"
 
 struct CcTakeover
@@ -28,9 +28,9 @@
   CcVoting *voting;
   GHashTable *watches;    /* lease id to CcLeaseWatch */
   GHashTable *deleting;   /* set of lease ids */
-  GPtrArray *voters;      /* of CcVoterAt, as in the row */
+  GPtrArray *voters;      /* of CcVoterInfo, as in the row */
   guint64 voters_version; /* of the row; 0: none */
-  gboolean writing;       /* a change of voters is on its way */
+  gboolean writing;       /* a write of the voters' row is in progress */
   CcCounter *deleted;
 };
 
@@ -38,9 +38,10 @@
 {
   CcTakeover *takeover;
   char *id;
-} Deletion;
+} LeaseDeletion;
 
-/* For the assigner that follows the table by F. */
+/* Creates the state of an assigner that reads the table through F, writes to
+ * PLATFORM and requests releases through VOTING. */
 CcTakeover *
 cc_takeover_new (CcPlatform *platform, CcFollower *f, CcVoting *voting)
 {
@@ -56,29 +57,34 @@
   return t;
 }
 
+/* Handles the result of the transaction that deletes a lease.  If it failed,
+ * the lease is checked again at a later tick. */
 static void
 on_deleted (CcStatus status, guint64 version, gpointer data)
 {
-  Deletion *d = data;
+  LeaseDeletion *d = data;
 
   (void) version;
   g_hash_table_remove (d->takeover->deleting, d->id);
   if (status == CC_OK)
     {
       ++*d->takeover->deleted;
-      cc_log (CC_LOG_WARNING, "takeover", "lease of %s lapsed, deleted", d->id);
+      cc_log (CC_LOG_WARNING, "takeover", "deleted the lapsed lease of %s",
+              d->id);
     }
   cc_follower_poll (d->takeover->follower);
   g_free (d->id);
   g_free (d);
 }
 
+/* Deletes the lease in ROW and its holder's member row, if neither the lease
+ * nor the voters' row, last read at version VOTERS, has changed. */
 static void
 delete_lease (CcTakeover *t, const char *id, const CcRow *row, guint64 voters)
 {
   CcTransaction *x = cc_transaction_new ();
   g_autofree char *member = g_strconcat ("member/", id, NULL);
-  Deletion *d = g_new0 (Deletion, 1);
+  LeaseDeletion *d = g_new0 (LeaseDeletion, 1);
 
   d->takeover = t;
   d->id = g_strdup (id);
@@ -90,8 +96,9 @@
   cc_platform_commit (t->platform, x, on_deleted, d);
 }
 
+/* The watch of lease ID, created if there is none. */
 static CcLeaseWatch *
-watch_of (CcTakeover *t, const char *id)
+find_watch (CcTakeover *t, const char *id)
 {
   CcLeaseWatch *w = g_hash_table_lookup (t->watches, id);
 
@@ -102,11 +109,13 @@
   return w;
 }
 
+/* Updates the watch of the lease in ROW.  If ACTIVE, deletes a lease that has
+ * lapsed and was released. */
 static void
-look_at (CcTakeover *t, const CcRow *row, gboolean active, gint64 now)
+check_lease (CcTakeover *t, const CcRow *row, gboolean active, gint64 now)
 {
-  const char *id = row->key + strlen (LEASE);
-  CcLeaseWatch *w = watch_of (t, id);
+  const char *id = row->key + strlen (LEASE_PREFIX);
+  CcLeaseWatch *w = find_watch (t, id);
   guint64 voters;
 
   cc_lease_watch (w, row->version, now);
@@ -116,8 +125,10 @@
     delete_lease (t, id, row, voters);
 }
 
+/* The version of the voters' row that the holder of LEASE knows; 0 if
+ * unknown. */
 static guint64
-voters_seen (const CcRow *lease)
+known_voters_version (const CcRow *lease)
 {
   g_autoptr (JsonNode) root = json_from_string (lease->value, NULL);
 
@@ -127,20 +138,23 @@
       json_node_get_object (root), "voters", 0);
 }
 
+/* Whether the holders of all LEASES know the present version of the voters'
+ * row. */
 static gboolean
-all_have_seen (const CcTakeover *t, const GPtrArray *leases)
+all_know_voters (const CcTakeover *t, const GPtrArray *leases)
 {
   for (guint i = 0; i < leases->len; i++)
     {
       const CcRow *row = leases->pdata[i];
 
-      if (!g_str_equal (row->key, LEASE "assign") &&
-          voters_seen (row) < t->voters_version)
+      if (!g_str_equal (row->key, LEASE_PREFIX "assign") &&
+          known_voters_version (row) < t->voters_version)
         return FALSE;
     }
   return TRUE;
 }
 
+/* Handles the result of a write of the voters' row. */
 static void
 on_voters_written (CcStatus status, guint64 version, gpointer data)
 {
@@ -148,10 +162,11 @@
 
   (void) status, (void) version;
   t->writing = FALSE;
-  t->voters_version = 0; /* read it again: what was written may not stand */
+  t->voters_version = 0; /* read it again, as the write may have failed */
   cc_follower_poll (t->follower);
 }
 
+/* Reads the voters' row from the view if its version has changed. */
 static void
 read_voters (CcTakeover *t)
 {
@@ -164,6 +179,8 @@
   t->voters_version = row->version;
 }
 
+/* The registered dispatchers as CcVoterInfo, whose strings belong to the
+ * follower.  The caller unrefs the array. */
 static GPtrArray *
 list_members (const CcTakeover *t)
 {
@@ -175,7 +192,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const CcMember *m = value;
-      CcVoterAt *v = g_new0 (CcVoterAt, 1);
+      CcVoterInfo *v = g_new0 (CcVoterInfo, 1);
 
       v->address = m->address;
       v->zone = m->zone;
@@ -184,8 +201,10 @@
   return members;
 }
 
+/* Writes the voters' row if the set of voters has to change, but not before all
+ * dispatchers know the previous change (voters.h). */
 static void
-keep_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
+update_voters (CcTakeover *t, const GPtrArray *leases, gint64 now)
 {
   g_autoptr (GPtrArray) members = NULL;
   g_autofree char *value = NULL;
@@ -195,7 +214,8 @@
     return;
   read_voters (t);
   members = list_members (t);
-  if (!all_have_seen (t, leases) || !cc_voters_step (t->voters, members, now))
+  if (!all_know_voters (t, leases) ||
+      !cc_voters_update (t->voters, members, now))
     return;
   value = cc_voters_print (t->voters);
   x = cc_transaction_new ();
@@ -205,19 +225,22 @@
   cc_platform_commit (t->platform, x, on_voters_written, t);
 }
 
-/* Looks at all leases at NOW; only the ACTIVE assigner acts. */
+/* Checks all leases at NOW.  Every assigner watches them, so that it knows
+ * their age when it becomes active; only the ACTIVE one deletes leases and
+ * changes the voters. */
 void
 cc_takeover_tick (CcTakeover *t, gboolean active, gint64 now)
 {
-  g_autoptr (GPtrArray) leases = cc_view_list (&t->follower->view, LEASE);
+  g_autoptr (GPtrArray) leases =
+      cc_view_list (&t->follower->view, LEASE_PREFIX);
 
   for (guint i = 0; i < leases->len; i++)
     {
       const CcRow *row = leases->pdata[i];
 
-      if (!g_str_equal (row->key, LEASE "assign"))
-        look_at (t, row, active, now);
+      if (!g_str_equal (row->key, LEASE_PREFIX "assign"))
+        check_lease (t, row, active, now);
     }
   if (active)
-    keep_voters (t, leases, now);
+    update_voters (t, leases, now);
 }
--- a/test/granter_world.c
+++ b/test/granter_world.c
@@ -310,7 +310,7 @@
 /* Returns the connection of P to SERVER for O and marks it as busy, or NULL if
  * O requires an older one than there is. */
 static Connection *
-take_connection (Process *p, guint server, const CcHttpOrder *o)
+take_connection (Process *p, guint server, const CcHttpRequest *o)
 {
   gint64 now = cc_clock_now ();
   Connection new = { .serial = ++world.serial,
@@ -356,7 +356,7 @@
 }
 
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   Process *p = &world.processes[world.running];
   gint64 now = cc_clock_now ();
@@ -393,11 +393,12 @@
     {
       /* No response to the connection attempt, or it is refused. */
       e.kind = EVENT_UNSENT;
-      e.at = now + (p->cut_from[server] ? o->connect_within : random_ms (1, 4));
+      e.at =
+          now + (p->cut_from[server] ? o->connect_timeout : random_ms (1, 4));
       push_event (&e);
       return (CcHttpCall *) done;
     }
-  e.at = now + o->answer_within;
+  e.at = now + o->answer_timeout;
   e.kind = EVENT_TIMED_OUT;
   push_event (&e);
   e.kind = EVENT_ARRIVES;
@@ -477,7 +478,7 @@
 }
 
 static void
-settle (Event *e, CcHttpEnd how)
+settle (Event *e, CcHttpOutcome how)
 {
   CcHttpResult r = {
     .end = how, .why = "", .status = e->status, .connected_at = e->connected_at
@@ -515,7 +516,7 @@
       settle (e, CC_HTTP_UNSENT);
       break;
     case EVENT_TIMED_OUT:
-      settle (e, CC_HTTP_LATE);
+      settle (e, CC_HTTP_TIMED_OUT);
       break;
     }
   return TRUE;
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -156,7 +156,7 @@
 {
   CcQueueEntry a = { .due = WITHIN, .within = WITHIN, .left = CC_SECOND };
   CcQueueEntry b = a;
-  CcOffer offer;
+  CcOfferResult offer;
   CcLoad l;
 
   cc_load_init (&l);
--- a/test/test_document.c
+++ b/test/test_document.c
@@ -1,5 +1,6 @@
-/* Documents that are refused, and the places that are named; what two of them
- * may differ in; and how a difference is shown. */
+/* Guards against a document with an error that is accepted, or reported at the
+ * wrong place; against a forbidden change between two documents; and against
+ * differences that are shown wrong or not at all. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -103,7 +104,7 @@
     }
 }
 
-/* Two faults in one document are both told. */
+/* All errors of a document are reported, not only the first. */
 static void
 test_all_findings (void **state)
 {
@@ -143,7 +144,7 @@
       cc_findings_init (&f);
       a = cc_document_parse (pairs[i].before, -1, &f);
       b = cc_document_parse (pairs[i].after, -1, &f);
-      cc_document_compare (a, b, &f);
+      cc_document_check_update (a, b, &f);
       assert_int_equal (cc_findings_count (&f), pairs[i].findings);
       cc_document_free (a);
       cc_document_free (b);
@@ -162,7 +163,7 @@
   a = cc_document_parse (before, -1, &f);
   b = cc_document_parse (after, -1, &f);
   assert_true (a != NULL && b != NULL);
-  cc_document_compare (a, b, &f);
+  cc_document_check_update (a, b, &f);
   count = cc_findings_count (&f);
   cc_document_free (a);
   cc_document_free (b);
@@ -187,8 +188,9 @@
       count_findings (DOCUMENT (POOL, CLASS), DOCUMENT (POOL_KEEPS, CLASS)), 0);
 }
 
-/* Guards against "keep" that is taken back in two steps: a zone that is cut off
- * misses both, and serves on while its servers are taken over. */
+/* Guards against "keep" that is reverted in two steps, by removal and new
+ * creation of the pool: a zone that is cut off receives neither document, and
+ * continues to serve while its servers are taken over. */
 static void
 keep_is_not_taken_back_by_removal (void **state)
 {
--- a/test/test_forward.c
+++ b/test/test_forward.c
@@ -1,8 +1,6 @@
-/* What becomes of a request when its attempts end badly.
- *
- * What callers would see if it failed: a booking made twice, or a "not run"
- * for one that was made.  Each case gives the ends of the attempts in order;
- * every upstream that is tried answers the next of them. */
+/* Guards against a once-only request that runs twice, or is reported "not run"
+ * after it ran, because an attempt failed.  Each case lists the results of its
+ * successive attempts and the result expected for the caller. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -18,7 +16,7 @@
 
 #define ATTEMPTS_MAX 4
 
-/* How one attempt ends. */
+/* The result of one attempt. */
 typedef enum
 {
   NONE,
@@ -28,32 +26,39 @@
   SHED_503,
   OTHER_421,
   UNSIGNED_200,
-  OTHERS_ECHO,
+  WRONG_ECHO,
   UNSENT,
   LOST,
   LATE
-} Script;
+} AttemptEnd;
 
 typedef struct
 {
   const char *name;
   gboolean idempotent;
-  guint attempts; /* that the route allows */
-  Script script[ATTEMPTS_MAX];
-  guint sent; /* attempts that were made */
-  CcEndKind end;
+  guint attempts; /* limit of the route */
+  AttemptEnd script[ATTEMPTS_MAX];
+  guint sent; /* attempts expected */
+  CcExchangeOutcome end;
   const char *reason;
   guint status;
 } Case;
 
 static const Case cases[] = {
-  { "once-only, served", FALSE, 2, { OK_200 }, 1, CC_END_ANSWER, "", 200 },
+  { "once-only, served",
+    FALSE,
+    2,
+    { OK_200 },
+    1,
+    CC_EXCHANGE_ANSWERED,
+    "",
+    200 },
   { "once-only, failed by the server",
     FALSE,
     2,
     { ERROR_500 },
     1,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     500 },
   { "once-only, lost",
@@ -61,7 +66,7 @@
     2,
     { LOST, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "once-only, late",
@@ -69,7 +74,7 @@
     2,
     { LATE, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "deadline",
     0 },
   { "once-only, unsigned answer",
@@ -77,15 +82,15 @@
     2,
     { UNSIGNED_200, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "not-its-answer",
     0 },
   { "once-only, another's answer",
     FALSE,
     2,
-    { OTHERS_ECHO, OK_200 },
+    { WRONG_ECHO, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "not-its-answer",
     0 },
   { "once-only, shed, then served",
@@ -93,7 +98,7 @@
     2,
     { SHED_503, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "once-only, shed by all it may go to",
@@ -101,7 +106,7 @@
     2,
     { SHED_503, SHED_503 },
     2,
-    CC_END_NOT_RUN,
+    CC_EXCHANGE_NOT_RUN,
     "shed",
     0 },
   { "once-only, shed, then lost",
@@ -109,7 +114,7 @@
     3,
     { SHED_503, LOST },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "once-only, address of another, then served",
@@ -117,7 +122,7 @@
     2,
     { OTHER_421, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "once-only, unreachable, then served",
@@ -125,7 +130,7 @@
     1,
     { UNSENT, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, lost, then served",
@@ -133,7 +138,7 @@
     2,
     { LOST, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, lost, then shed",
@@ -141,7 +146,7 @@
     2,
     { LOST, SHED_503 },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "shed",
     0 },
   { "idempotent, failed, then shed",
@@ -149,7 +154,7 @@
     2,
     { ERROR_500, SHED_503 },
     2,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "shed",
     0 },
   { "idempotent, one attempt only",
@@ -157,7 +162,7 @@
     1,
     { LOST, OK_200 },
     1,
-    CC_END_UNKNOWN,
+    CC_EXCHANGE_UNKNOWN,
     "lost",
     0 },
   { "idempotent, failed, then served",
@@ -165,7 +170,7 @@
     2,
     { ERROR_500, OK_200 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     200 },
   { "idempotent, failed twice",
@@ -173,7 +178,7 @@
     2,
     { ERROR_500, ERROR_500 },
     2,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     500 },
   { "idempotent, out of time at the server",
@@ -181,12 +186,12 @@
     2,
     { EXPIRED_504, OK_200 },
     1,
-    CC_END_ANSWER,
+    CC_EXCHANGE_ANSWERED,
     "",
     504 },
 };
 
-/* ---- the upstreams, in place of http_link.c ---- */
+/* ---- fake upstreams, which replace http_link.c ---- */
 
 typedef struct
 {
@@ -202,7 +207,7 @@
 } net;
 
 CcHttpCall *
-cc_http_send (CcHttp *h, const CcHttpOrder *o, CcHttpDone done, gpointer data)
+cc_http_send (CcHttp *h, const CcHttpRequest *o, CcHttpDone done, gpointer data)
 {
   Call *c = g_new0 (Call, 1);
 
@@ -222,7 +227,7 @@
   g_free (c);
 }
 
-/* In place of load_reporter.c: nobody counts keys here. */
+/* Replaces load_reporter.c; key counts are not tested here. */
 void
 cc_load_reporter_count (CcLoadReporter *l, const char *pool, guint key)
 {
@@ -261,7 +266,7 @@
 #define SIGNED "X-Response-Signature=s"
 
 static void
-play (Script script)
+end_attempt (AttemptEnd script)
 {
   g_autofree Call *c = g_queue_pop_head (net.calls);
   g_autoptr (GVariant) headers = NULL;
@@ -288,7 +293,7 @@
     case UNSIGNED_200:
       r = answer (200, "X-None=1", &headers);
       break;
-    case OTHERS_ECHO:
+    case WRONG_ECHO:
       r = answer (200, "X-Id=1", &headers);
       break;
     case UNSENT:
@@ -299,7 +304,7 @@
       break;
     case LATE:
     case NONE:
-      r.end = CC_HTTP_LATE;
+      r.end = CC_HTTP_TIMED_OUT;
       break;
     }
   r.body = body;
@@ -311,7 +316,7 @@
 typedef struct
 {
   gboolean ended;
-  CcEndKind kind;
+  CcExchangeOutcome kind;
   guint status;
   char reason[32];
   gint64 retry_after;
@@ -319,7 +324,7 @@
 } Outcome;
 
 static void
-on_end (const CcEnd *e, gpointer data)
+on_end (const CcExchangeResult *e, gpointer data)
 {
   Outcome *o = data;
 
@@ -332,7 +337,7 @@
   g_strlcpy (o->reason, e->reason, sizeof o->reason);
 }
 
-/* A row is an address, and maybe a word. */
+/* A row holds an address and optionally a state. */
 static gboolean
 decode (const char *key, const char *value, CcListing *l)
 {
@@ -403,19 +408,19 @@
 static CcExchange *
 begin (World *w, Outcome *o)
 {
-  CcExchangeStart s = { .route = &w->route,
-                        .pool = "booking",
-                        .keyed = w->caller.key >= 0,
-                        .caller = &w->caller,
-                        .method = "POST",
-                        .path = "/b",
-                        .headers = "",
-                        .body = w->body };
+  CcExchangeRequest s = { .route = &w->route,
+                          .pool = "booking",
+                          .keyed = w->caller.key >= 0,
+                          .caller = &w->caller,
+                          .method = "POST",
+                          .path = "/b",
+                          .headers = "",
+                          .body = w->body };
 
   return cc_exchange_begin (w->forwarder, &s, on_end, o);
 }
 
-/* Lets some requests go well, and time pass, so that there is a budget. */
+/* Lets requests succeed, so that the retry budget has tokens. */
 static void
 earn_budget (World *w)
 {
@@ -424,7 +429,7 @@
       Outcome o = { 0 };
 
       begin (w, &o);
-      play (OK_200);
+      end_attempt (OK_200);
       assert_true (o.ended);
     }
   g_ptr_array_set_size (net.addresses, 0);
@@ -463,7 +468,7 @@
       earn_budget (&w);
       begin (&w, &o);
       for (guint k = 0; k < ATTEMPTS_MAX && !o.ended; k++)
-        play (c->script[k]);
+        end_attempt (c->script[k]);
       if (!o.ended || o.kind != c->end || o.status != c->status ||
           strcmp (o.reason, c->reason) != 0 || net.addresses->len != c->sent ||
           !all_differ (net.addresses))
@@ -473,10 +478,9 @@
     }
 }
 
-/* A pool where everything is shed, for 8 s of a window of 10 s: after the
- * budget is spent nothing is sent again, however many requests come, and each
- * is told at once when to return.
- */
+/* Guards against a retry storm: a pool sheds all requests for 8 s of a window
+ * of 10 s.  Once the budget is spent nothing is repeated, and each caller gets
+ * its Retry-After at once. */
 static void
 repeats_are_bounded_by_the_budget (void **state)
 {
@@ -492,22 +496,22 @@
 
       begin (&w, &o);
       while (!o.ended && !g_queue_is_empty (net.calls))
-        play (SHED_503);
+        end_attempt (SHED_503);
       cc_clock_advance (20 * CC_MS);
       if (!o.ended)
         cc_forwarder_pump (w.forwarder);
       while (!o.ended && !g_queue_is_empty (net.calls))
-        play (SHED_503);
+        end_attempt (SHED_503);
       assert_true (o.ended);
-      assert_int_equal (o.kind, CC_END_NOT_RUN);
+      assert_int_equal (o.kind, CC_EXCHANGE_NOT_RUN);
       assert_true (o.retry_after > 0);
     }
   assert_true (net.addresses->len <= requests + 0.2 * requests + 100);
   world_clear (&w);
 }
 
-/* The caller left.  Idempotent work is ended at the server, once-only work goes
- * on and its answer goes to nobody. */
+/* After a caller disconnected, idempotent work is aborted at the server;
+ * once-only work continues and its answer is dropped. */
 static void
 a_caller_that_left_ends_idempotent_work_only (void **state)
 {
@@ -522,26 +526,25 @@
       cc_exchange_cancel (begin (&w, &o));
       assert_int_equal (net.cancelled, idempotent);
       if (!idempotent)
-        play (OK_200);
+        end_attempt (OK_200);
       assert_false (o.ended);
       assert_int_equal (cc_forwarder_pending (w.forwarder), 0);
       world_clear (&w);
     }
 }
 
-/* An operator asks whether a request was sent to an upstream after it had
- * ended.  Its end tells how long the upstream had been leaving at most when it
- * was sent there, by when the row was written and not by when it was heard of.
- */
+/* Guards against a wrong "leaving" time in the result, by which operators check
+ * whether a request was sent to an upstream that had exited.  It must count
+ * from when the row was written, not from when it was received. */
 static void
-what_goes_to_one_that_leaves_tells_for_how_long_it_had_been (void **state)
+result_reports_how_long_the_target_had_been_leaving (void **state)
 {
   static const struct
   {
     const char *row;
-    gint64 heard_ms; /* after the row was written */
+    gint64 received_ms; /* after the row was written */
     gint64 sent_ms;
-    gint64 leaving_ms; /* told; -1: it was not leaving */
+    gint64 leaving_ms; /* reported; -1: it was not leaving */
   } table[] = {
     { "10.0.0.1:80 ready", 10, 200, -1 },
     { "10.0.0.1:80 leaving", 0, 0, 0 },
@@ -569,14 +572,14 @@
       cc_view_put (&w.state, key, 1, text);
       changed = cc_view_rows (&w.state);
       cc_forwarder_ranges_changed (w.forwarder, &w.state, changed);
-      cc_version_clock_note (&clock, 5, cc_clock_now ());
+      cc_version_clock_record (&clock, 5, cc_clock_now ());
       cc_view_put (&w.view, "s1", 6, table[i].row);
-      cc_clock_advance (table[i].heard_ms * CC_MS);
+      cc_clock_advance (table[i].received_ms * CC_MS);
       cc_targets_update (&w.targets, &listed, decode, cc_clock_now (),
                          ignore_change, NULL);
-      cc_clock_advance ((table[i].sent_ms - table[i].heard_ms) * CC_MS);
+      cc_clock_advance ((table[i].sent_ms - table[i].received_ms) * CC_MS);
       begin (&w, &o);
-      play (OK_200);
+      end_attempt (OK_200);
       assert_true (o.ended);
       assert_int_equal (o.leaving, table[i].leaving_ms < 0
                                        ? -1
@@ -593,8 +596,7 @@
     cmocka_unit_test (requests_end_as_the_cases_say),
     cmocka_unit_test (repeats_are_bounded_by_the_budget),
     cmocka_unit_test (a_caller_that_left_ends_idempotent_work_only),
-    cmocka_unit_test (
-        what_goes_to_one_that_leaves_tells_for_how_long_it_had_been),
+    cmocka_unit_test (result_reports_how_long_the_target_had_been_leaving),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_map_change.c
+++ b/test/test_map_change.c
@@ -1,4 +1,5 @@
-/* What operators read as the reason of a map's last change. */
+/* Guards against a wrong reason of a map's last change, as shown to operators,
+ * and against a change that is sent to the wrong dispatchers. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -9,7 +10,7 @@
 
 #include "map_change.h"
 
-/* A settled map of two servers, each held by a dispatcher of its own. */
+/* A settled map of two servers with a dispatcher each. */
 static CcSliceMap *
 settled (void)
 {
@@ -33,7 +34,7 @@
 }
 
 static void
-nothing (CcSliceMap *m)
+no_change (CcSliceMap *m)
 {
   (void) m;
 }
@@ -88,9 +89,9 @@
   static const struct
   {
     void (*change) (CcSliceMap *m);
-    const char *reason; /* a part of it */
+    const char *reason; /* expected substring */
   } cases[] = {
-    { nothing, "earlier" },
+    { no_change, "earlier" },
     { move_one, "balance of load: 1 slices move" },
     { join, "gate-3 joined" },
     { leave, "gate-1 is leaving or drained: 1 slices move" },
@@ -104,7 +105,7 @@
       CcSliceMap *before = settled (), *m = settled ();
 
       cases[i].change (m);
-      cc_slicemap_note_reason (m, before);
+      cc_slicemap_update_reason (m, before);
       if (strstr (m->reason, cases[i].reason) == NULL)
         fail_msg ("case %u: \"%s\"", i, m->reason);
       cc_slicemap_free (before);
@@ -112,7 +113,8 @@
     }
 }
 
-/* The second half of a move only completes it: the first one's reason stays. */
+/* The second version of a move completes it and keeps the first one's reason.
+ */
 static void
 test_completion_keeps_reason (void **state)
 {
@@ -121,25 +123,25 @@
   leave (before);
   leave (m);
   cc_slicemap_at (m, 0)->from = -1;
-  cc_slicemap_note_reason (m, before);
+  cc_slicemap_update_reason (m, before);
   assert_string_equal (m->reason, "earlier");
   cc_slicemap_free (before);
   cc_slicemap_free (m);
 }
 
-/* A map is sent at once to the dispatchers that have to act on it, and to no
+/* A map is sent at once to the dispatchers that must act on it, and to no
  * others. */
 static void
-test_concerned (void **state)
+test_affected_dispatchers (void **state)
 {
   static const struct
   {
     void (*change) (CcSliceMap *m);
     gboolean d1, d2, d9;
   } cases[] = {
-    { nothing, FALSE, FALSE, FALSE }, { move_one, TRUE, TRUE, FALSE },
-    { join, FALSE, FALSE, FALSE },    { leave, TRUE, TRUE, FALSE },
-    { lose, FALSE, FALSE, FALSE },    { take_over, FALSE, FALSE, TRUE },
+    { no_change, FALSE, FALSE, FALSE }, { move_one, TRUE, TRUE, FALSE },
+    { join, FALSE, FALSE, FALSE },      { leave, TRUE, TRUE, FALSE },
+    { lose, FALSE, FALSE, FALSE },      { take_over, FALSE, FALSE, TRUE },
     { hand_over, TRUE, FALSE, TRUE },
   };
 
@@ -150,7 +152,7 @@
       g_autoptr (GHashTable) ids = NULL;
 
       cases[i].change (m);
-      ids = cc_slicemap_concerned (m, before);
+      ids = cc_slicemap_affected_dispatchers (m, before);
       if (g_hash_table_contains (ids, "d1") != cases[i].d1 ||
           g_hash_table_contains (ids, "d2") != cases[i].d2 ||
           g_hash_table_contains (ids, "d9") != cases[i].d9)
@@ -166,7 +168,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_reasons),
     cmocka_unit_test (test_completion_keeps_reason),
-    cmocka_unit_test (test_concerned),
+    cmocka_unit_test (test_affected_dispatchers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_outcome_chunks.c
+++ b/test/test_outcome_chunks.c
@@ -1,7 +1,6 @@
-/* A memory of three chunks, of which some don't come, or come twice, in another
- * order or from another process.  The horizon may be lowered only by all of
- * them in order and from one sender, or a repeat of what stood in the missing
- * chunk would run again: the caller would pay twice. */
+/* Guards against a horizon lowered by incomplete records, which would let a
+ * repeat run twice: of three chunks some are lost, duplicated, reordered or
+ * sent by another process. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -61,13 +60,14 @@
   return CC_OK;
 }
 
-/* The old holder's chunks, and in M the map by which the new one begins. */
+/* Returns the old holder's chunks, and changes M to the map with which the new
+ * holder begins. */
 static GPtrArray *
 old_chunks (CcSliceMap *m)
 {
   CcOutcomes *o = cc_outcomes_new ();
   CcTransfer *t = cc_transfer_new (o);
-  CcRemembered r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
+  CcOutcomeRecord r = { .outcome = CC_OUTCOME_RUN, .status = 200 };
   GPtrArray *chunks =
       g_ptr_array_new_with_free_func ((GDestroyNotify) g_bytes_unref);
 
--- a/test/test_targets.c
+++ b/test/test_targets.c
@@ -217,11 +217,11 @@
       update (&t, &v, 0, CC_SECOND);
       one = cc_targets_find (&t, "u0");
       if (c->confirmed_ms >= 0)
-        cc_version_clock_note (&clock, one->version,
-                               written - c->confirmed_ms * CC_MS);
+        cc_version_clock_record (&clock, one->version,
+                                 written - c->confirmed_ms * CC_MS);
       list (&v, 0, c->row);
       /* The newest response names the row's version without dating it. */
-      cc_version_clock_note (&clock, one->version + 1, received);
+      cc_version_clock_record (&clock, one->version + 1, received);
       update_with_clock (&t, &v, &clock, 0, received);
       if ((c->serves_ms > 0 && !cc_targets_serves_keys (&t, one, end - 1)) ||
           cc_targets_serves_keys (&t, one, MAX (end, received)))
--- a/voters.c
+++ b/voters.c
@@ -1,12 +1,14 @@
-/* Which dispatchers vote (promise.h), without network or clock.
+/* Chooses the dispatchers that vote (promise.h), without network or clock.
  *
- * The set changes by one voter at a time: any majority of a set shares a voter
- * with any majority of the next, but not with one of the set after that.  So
- * the assigner makes a change only when every dispatcher has seen the last one,
- * which each writes into its lease row, and a takeover checks the version of
- * the voters' row.
+ * The set changes by one voter at a time.  Any majority of a set shares a voter
+ * with any majority of the next set, but not with one of the set after that;
+ * a promise and a release could then both get a majority.  So the assigner
+ * makes a change only when every dispatcher has read the previous one, which
+ * each records in its lease row, and a takeover checks the version of the
+ * voters' row.
  *
- * Voters are spread over the zones, so that the loss of one leaves a majority.
+ * Voters are spread over the zones, so that a majority remains when a zone is
+ * lost.
  */
 #include "voters.h"
 
@@ -14,28 +16,30 @@
 
 #include "promise.h"
 
+/* Frees a CcVoterInfo. */
 static void
 voter_free (gpointer data)
 {
-  CcVoterAt *v = data;
+  CcVoterInfo *v = data;
 
   g_free (v->address);
   g_free (v->zone);
   g_free (v);
 }
 
+/* Appends a voter to VOTERS, with copies of the strings. */
 static void
 add_voter (GPtrArray *voters, const char *address, const char *zone)
 {
-  CcVoterAt *v = g_new0 (CcVoterAt, 1);
+  CcVoterInfo *v = g_new0 (CcVoterInfo, 1);
 
   v->address = g_strdup (address);
   v->zone = g_strdup (zone);
   g_ptr_array_add (voters, v);
 }
 
-/* The voters (of CcVoterAt) in a row; none if JSON is NULL or damaged.  The
- * caller unrefs. */
+/* Parses the value of the voters' row into an array of CcVoterInfo, which is
+ * empty if JSON is NULL or not an array.  The caller unrefs it. */
 GPtrArray *
 cc_voters_parse (const char *json)
 {
@@ -57,7 +61,7 @@
   return voters;
 }
 
-/* The row that names VOTERS.  The caller frees it. */
+/* Formats VOTERS as the value of the voters' row.  The caller frees it. */
 char *
 cc_voters_print (const GPtrArray *voters)
 {
@@ -67,7 +71,7 @@
   json_builder_begin_array (b);
   for (guint i = 0; i < voters->len; i++)
     {
-      const CcVoterAt *v = voters->pdata[i];
+      const CcVoterInfo *v = voters->pdata[i];
 
       json_builder_begin_array (b);
       json_builder_add_string_value (b, v->address);
@@ -79,66 +83,72 @@
   return json_to_string (root, FALSE);
 }
 
-/* Whether the one at ADDRESS is among VOTERS. */
+/* Whether VOTERS contains the one with ADDRESS. */
 gboolean
-cc_voters_have (const GPtrArray *voters, const char *address)
+cc_voters_contain (const GPtrArray *voters, const char *address)
 {
   for (guint i = 0; i < voters->len; i++)
-    if (g_str_equal (((CcVoterAt *) voters->pdata[i])->address, address))
+    if (g_str_equal (((CcVoterInfo *) voters->pdata[i])->address, address))
       return TRUE;
   return FALSE;
 }
 
+/* How many of VOTERS are in ZONE. */
 static guint
-in_zone (const GPtrArray *voters, const char *zone)
+count_in_zone (const GPtrArray *voters, const char *zone)
 {
   guint n = 0;
 
   for (guint i = 0; i < voters->len; i++)
-    n += g_str_equal (((CcVoterAt *) voters->pdata[i])->zone, zone);
+    n += g_str_equal (((CcVoterInfo *) voters->pdata[i])->zone, zone);
   return n;
 }
 
-/* The member that isn't a voter and whose zone has the fewest. */
-static const CcVoterAt *
+/* The member that is not a voter and whose zone has the fewest voters; NULL if
+ * all members are voters. */
+static const CcVoterInfo *
 next_voter (const GPtrArray *voters, const GPtrArray *members)
 {
-  const CcVoterAt *best = NULL;
+  const CcVoterInfo *best = NULL;
 
   for (guint i = 0; i < members->len; i++)
     {
-      const CcVoterAt *m = members->pdata[i];
+      const CcVoterInfo *m = members->pdata[i];
 
-      if (!cc_voters_have (voters, m->address) &&
-          (best == NULL ||
-           in_zone (voters, m->zone) < in_zone (voters, best->zone)))
+      if (!cc_voters_contain (voters, m->address) &&
+          (best == NULL || count_in_zone (voters, m->zone) <
+                               count_in_zone (voters, best->zone)))
         best = m;
     }
   return best;
 }
 
+/* Records for each voter whether, and since when, it has no member row. */
 static void
-note_missed (GPtrArray *voters, const GPtrArray *members, gint64 now)
+update_missing (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
   for (guint i = 0; i < voters->len; i++)
     {
-      CcVoterAt *v = voters->pdata[i];
+      CcVoterInfo *v = voters->pdata[i];
 
-      if (cc_voters_have (members, v->address))
-        v->missed = 0;
-      else if (v->missed == 0)
-        v->missed = now;
+      if (cc_voters_contain (members, v->address))
+        v->missing_since = 0;
+      else if (v->missing_since == 0)
+        v->missing_since = now;
     }
 }
 
+/* Removes the first voter that has had no member row for CC_VOTER_MISSING_MAX.
+ * Returns whether there was one. */
 static gboolean
-drop_missed (GPtrArray *voters, gint64 now)
+remove_missing (GPtrArray *voters, gint64 now)
 {
   for (guint i = 0; i < voters->len; i++)
     {
-      const CcVoterAt *v = voters->pdata[i];
+      const CcVoterInfo *v = voters->pdata[i];
 
-      if (v->missed == 0 || now < v->missed + CC_VOTER_MISSED)
+      if (v->missing_since == 0 ||
+          now < v->missing_since + CC_VOTER_MISSING_MAX)
         continue;
       g_ptr_array_remove_index (voters, i);
       return TRUE;
@@ -146,10 +156,12 @@
   return FALSE;
 }
 
+/* Adds the next voter, unless all members vote or CC_VOTERS_MAX is reached.
+ * Returns whether it did. */
 static gboolean
 add_one (GPtrArray *voters, const GPtrArray *members)
 {
-  const CcVoterAt *next = next_voter (voters, members);
+  const CcVoterInfo *next = next_voter (voters, members);
 
   if (next == NULL || voters->len >= CC_VOTERS_MAX)
     return FALSE;
@@ -157,13 +169,15 @@
   return TRUE;
 }
 
-/* Changes VOTERS by one, or from none to the first few, as MEMBERS (of
- * CcVoterAt, the dispatchers that stand) call for at NOW.  Returns whether it
- * did.  A voter that is missed makes room only if it can be replaced. */
+/* Adds one voter or removes one that has no member row, or chooses the first
+ * CC_VOTERS_MIN if there are none.  MEMBERS (of CcVoterInfo) are the registered
+ * dispatchers at NOW.  Returns whether VOTERS changed.  A missing voter is
+ * removed only if there are more than CC_VOTERS_MIN, so that its replacement
+ * is added first. */
 gboolean
-cc_voters_step (GPtrArray *voters, const GPtrArray *members, gint64 now)
+cc_voters_update (GPtrArray *voters, const GPtrArray *members, gint64 now)
 {
-  note_missed (voters, members, now);
+  update_missing (voters, members, now);
   if (voters->len == 0)
     {
       if (members->len < CC_VOTERS_MIN)
@@ -174,5 +188,5 @@
     }
   if (add_one (voters, members))
     return TRUE;
-  return voters->len > CC_VOTERS_MIN && drop_missed (voters, now);
+  return voters->len > CC_VOTERS_MIN && remove_missing (voters, now);
 }
--- a/voting.h
+++ b/voting.h
@@ -1,4 +1,4 @@
-/* Questions and answers about leases between dispatchers and assigners. */
+/* Messages between dispatchers and assigners for votes on leases. */
 #ifndef CC_VOTING_H
 #define CC_VOTING_H
 
