--- a/assign.c
+++ b/assign.c
@@ -305,7 +305,7 @@
 static void
 ask_for_instances (Assign *a, gint64 now)
 {
-  guint64 number = cc_listing_ask (&a->listing, now);
+  guint64 number = cc_listing_request (&a->listing, now);
   Question *q;
 
   if (number == 0)
@@ -366,8 +366,8 @@
   Assign *a = data;
   gint64 now = cc_clock_now ();
 
-  return a->follower->platform_ok > 0 &&
-                 now - a->follower->platform_ok < 2 * CC_SECOND
+  return a->follower->platform_answered_at > 0 &&
+                 now - a->follower->platform_answered_at < 2 * CC_SECOND
              ? NULL
              : "the platform does not answer\n";
 }
--- a/callers.c
+++ b/callers.c
@@ -256,7 +256,7 @@
   soup_message_headers_iter_init (&i,
                                   soup_server_message_get_request_headers (m));
   while (soup_message_headers_iter_next (&i, &name, &value))
-    if (!is_connection_header (name) && cc_edge_passes_on (name) &&
+    if (!is_connection_header (name) && cc_edge_forwards_header (name) &&
         g_ascii_strcasecmp (name, "Expect") != 0)
       g_string_append_printf (s, "%s: %s\r\n", name, value);
   return g_string_free (s, FALSE);
--- a/dispatch.c
+++ b/dispatch.c
@@ -220,7 +220,7 @@
 {
   const CcRow *voters = cc_view_get (&d->follower->view, "voters");
 
-  d->tenure->informed = d->follower->platform_ok > 0;
+  d->tenure->informed = d->follower->platform_answered_at > 0;
   d->tenure->voters_seen = voters != NULL ? voters->version : 0;
   cc_voting_tick (d->voting, now);
 }
--- a/edge.h
+++ b/edge.h
@@ -27,7 +27,7 @@
   CC_SERVER_ANSWERED,    /* its own answer; the work has run */
   CC_SERVER_SHED,        /* refused for its load or the time: not run */
   CC_SERVER_MISDIRECTED, /* another server, or not the key's owner: not run */
-  CC_SERVER_NONSENSE     /* not its answer to this request: nothing is known */
+  CC_SERVER_MISMATCHED   /* not its answer to this request: nothing is known */
 } CcServerReplyKind;
 
 typedef struct
@@ -49,10 +49,10 @@
 
 void cc_edge_read_caller (SoupMessageHeaders *h, CcCallerInfo *w);
 void cc_caller_info_clear (CcCallerInfo *w);
-gboolean cc_edge_passes_on (const char *header);
-void cc_edge_write_order (GString *head, const CcCallerInfo *w, gint64 left,
-                          const char *target);
-const char *cc_edge_echo (void);
+gboolean cc_edge_forwards_header (const char *header);
+void cc_edge_write_headers (GString *head, const CcCallerInfo *w, gint64 left,
+                            const char *target);
+const char *cc_edge_echo_header (void);
 void cc_edge_read_server (const CcHttpResult *r, const char *id,
                           CcServerReply *w);
 
--- a/exchange.c
+++ b/exchange.c
@@ -306,7 +306,7 @@
       return CC_PICK_SHED;
     case CC_SERVER_MISDIRECTED:
       return CC_PICK_GIVEN_UP;
-    case CC_SERVER_NONSENSE:
+    case CC_SERVER_MISMATCHED:
       return CC_PICK_FAILED;
     }
   return CC_PICK_FAILED;
@@ -328,7 +328,7 @@
     case CC_SERVER_MISDIRECTED:
       retry_not_run (e, &reply);
       break;
-    case CC_SERVER_NONSENSE:
+    case CC_SERVER_MISMATCHED:
       retry_unknown (e, "not-its-answer");
       break;
     }
--- a/follower.c
+++ b/follower.c
@@ -265,10 +265,11 @@
 note_platform (CcFollower *f, gboolean answered)
 {
   gint64 now = cc_clock_now ();
-  gboolean silent = !answered && now - f->platform_ok > PLATFORM_SILENT;
+  gboolean silent =
+      !answered && now - f->platform_answered_at > PLATFORM_SILENT;
 
   if (answered)
-    f->platform_ok = now;
+    f->platform_answered_at = now;
   if (answered != f->platform_told && (answered || silent))
     {
       f->platform_told = answered;
--- a/follower.h
+++ b/follower.h
@@ -30,15 +30,15 @@
   GHashTable *maps;         /* pool to CcSliceMap */
   GHashTable *members;      /* id to CcMember */
   CcMailbox *mailbox;
-  CcPlatform *platform;   /* NULL: learns from peers only */
-  const char *skip;       /* keys the platform need not send */
-  char **seeds;           /* addresses of peers, the nearest first */
-  GHashTable *listeners;  /* address to Listener, who asked lately */
-  gboolean polling;       /* a call to the platform is in progress */
-  gint64 platform_ok;     /* when the platform last answered, us */
-  gboolean platform_told; /* whether the log last said that it answers */
-  guint turn;             /* counts ticks */
-  gboolean gossips;       /* asks other members, too */
+  CcPlatform *platform;        /* NULL: learns from peers only */
+  const char *skip;            /* keys the platform need not send */
+  char **seeds;                /* addresses of peers, the nearest first */
+  GHashTable *listeners;       /* address to Listener, who asked lately */
+  gboolean polling;            /* a call to the platform is in progress */
+  gint64 platform_answered_at; /* when the platform last answered, us */
+  gboolean platform_told;      /* whether the log last said that it answers */
+  guint turn;                  /* counts ticks */
+  gboolean gossips;            /* asks other members, too */
   CcFollowerChanged changed;
   gpointer data;
 };
--- a/forward.c
+++ b/forward.c
@@ -111,7 +111,7 @@
   CcHttpOrder o = { .address = t->listing.address,
                     .body = e->body,
                     .bodiless = g_str_equal (e->method, "HEAD"),
-                    .echo = cc_edge_echo (),
+                    .echo = cc_edge_echo_header (),
                     .echo_value = e->caller.id,
                     .connect_within = CONNECT_WITHIN,
                     .answer_within = left + ANSWER_GRACE,
@@ -122,7 +122,7 @@
     o.idle_max = 0;
   g_string_append_printf (head, "%s %s HTTP/1.1\r\n%s", e->method, e->path,
                           e->headers);
-  cc_edge_write_order (head, &e->caller, left, t->listing.id);
+  cc_edge_write_headers (head, &e->caller, left, t->listing.id);
   o.head = head->str;
   cc_backlog_remove (&e->pool->backlog, &e->entry);
   e->call =
--- a/gateway.c
+++ b/gateway.c
@@ -219,7 +219,7 @@
 static void
 on_peer_ended (const char *address, gboolean answered, gpointer data)
 {
-  cc_members_peer_ended (((Gateway *) data)->members, address, answered);
+  cc_members_peer_result (((Gateway *) data)->members, address, answered);
 }
 
 static gboolean
@@ -239,7 +239,7 @@
 
   cc_members_update (g->members, cc_mirror_view (g->mirror, CC_TABLE_STATE));
   count = cc_members_count (g->members);
-  role = (CcMirrorRole){ .for_others = cc_members_is_followed (g->members),
+  role = (CcMirrorRole){ .is_followed = cc_members_is_followed (g->members),
                          .reads_all = cc_members_reads_all (g->members),
                          .distance = cc_members_distance (g->members),
                          .fleet = count };
@@ -249,7 +249,7 @@
   cc_forwarder_entries (g->forwarder, count);
   cc_load_reporter_relay (g->reporter, cc_members_is_relay (g->members));
   bound_connections (g);
-  cc_mirror_role (g->mirror, &role);
+  cc_mirror_set_role (g->mirror, &role);
 }
 
 /* ---- reports to the granter ---- */
@@ -353,7 +353,7 @@
       take_lease_version (g);
       break;
     }
-  cc_peer_server_tell (g->peers);
+  cc_peer_server_notify (g->peers);
 }
 
 /* ---- the ports beside the callers' ---- */
@@ -362,7 +362,7 @@
 static void
 check_isolation (Gateway *g)
 {
-  gint64 now = cc_clock_now (), heard_at = cc_mirror_heard_at (g->mirror);
+  gint64 now = cc_clock_now (), heard_at = cc_mirror_answered_at (g->mirror);
   gboolean cut_off =
       heard_at > 0 &&
       cc_isolation_is_cut_off (&g->targets, cc_setting (g->settings, "zone"),
@@ -565,7 +565,7 @@
                              .seeds = cc_setting_list (g->settings, "seeds") };
   CcMirrorSetup following = { .changed = on_rows,
                               .peer = pick_peer,
-                              .peer_ended = on_peer_ended,
+                              .peer_result = on_peer_ended,
                               .data = g,
                               /* At a first start there are no others. */
                               .members_from =
--- a/listing.c
+++ b/listing.c
@@ -10,7 +10,7 @@
 
 /* Returns the number of the question to ask at NOW, us, or 0 if none is due. */
 guint64
-cc_listing_ask (CcListing *l, gint64 now)
+cc_listing_request (CcListing *l, gint64 now)
 {
   if (now < l->due)
     return 0;
--- a/listing.h
+++ b/listing.h
@@ -14,7 +14,7 @@
   guint64 taken; /* number of the one whose answer counts; 0: none came */
 } CcListing;
 
-guint64 cc_listing_ask (CcListing *l, gint64 now);
+guint64 cc_listing_request (CcListing *l, gint64 now);
 gboolean cc_listing_answered (CcListing *l, guint64 number);
 
 #endif
--- a/members.c
+++ b/members.c
@@ -462,7 +462,7 @@
  * follow the relays of its zone draw it again and again, wait for it in vain,
  * and ask the table in its place. */
 void
-cc_members_peer_ended (CcMembers *m, const char *address, gboolean answered)
+cc_members_peer_result (CcMembers *m, const char *address, gboolean answered)
 {
   Backoff *s = g_hash_table_lookup (m->backoffs, address);
 
--- a/members.h
+++ b/members.h
@@ -34,8 +34,8 @@
 gboolean cc_members_is_relay (const CcMembers *m);
 gboolean cc_members_reads_all (const CcMembers *m);
 guint cc_members_distance (const CcMembers *m);
-void cc_members_peer_ended (CcMembers *m, const char *address,
-                            gboolean answered);
+void cc_members_peer_result (CcMembers *m, const char *address,
+                             gboolean answered);
 char *cc_members_peer (const CcMembers *m, CcPeerKind kind);
 char *cc_members_report_address (const CcMembers *m);
 
--- a/mirror.c
+++ b/mirror.c
@@ -190,7 +190,7 @@
 static gint64
 longest_pause (const CcMirror *m)
 {
-  if (m->role.for_others || m->role.fleet <= FLEET_SMALL)
+  if (m->role.is_followed || m->role.fleet <= FLEET_SMALL)
     return PAUSE_MAX;
   return MIN (PAUSE_MAX * m->role.fleet / FLEET_SMALL, PAUSE_LONGEST);
 }
@@ -602,7 +602,7 @@
 
 /* From now on this process has ROLE. */
 void
-cc_mirror_role (CcMirror *m, const CcMirrorRole *role)
+cc_mirror_set_role (CcMirror *m, const CcMirrorRole *role)
 {
   m->role = *role;
   if (role->reads_all)
@@ -696,7 +696,7 @@
 /* When the table service or the peer that is followed last answered, us; 0:
  * never. */
 gint64
-cc_mirror_heard_at (const CcMirror *m)
+cc_mirror_answered_at (const CcMirror *m)
 {
   return m->heard_at;
 }
--- a/mirror.h
+++ b/mirror.h
@@ -20,10 +20,10 @@
 /* A process's place among those that follow one another. */
 typedef struct
 {
-  gboolean for_others; /* others go by its copy */
-  gboolean reads_all;  /* it reads all tables at its start, for the others */
-  guint distance;      /* processes on the rows' way to it */
-  guint fleet;         /* processes of the fleet */
+  gboolean is_followed; /* others go by its copy */
+  gboolean reads_all;   /* it reads all tables at its start, for the others */
+  guint distance;       /* processes on the rows' way to it */
+  guint fleet;          /* processes of the fleet */
 } CcMirrorRole;
 
 /* Versions that tell one copy from another: of each followed table, and of the
@@ -34,8 +34,8 @@
 typedef char *(*CcMirrorPeer) (CcPeerKind kind, gpointer data);
 
 /* The one at ADDRESS, which was named to be followed, has ANSWERED or not. */
-typedef void (*CcMirrorPeerEnd) (const char *address, gboolean answered,
-                                 gpointer data);
+typedef void (*CcMirrorPeerResult) (const char *address, gboolean answered,
+                                    gpointer data);
 
 /* What a mirror goes by; the functions get DATA. */
 typedef struct
@@ -44,7 +44,7 @@
   CcHttp *http; /* to peers */
   CcMirrorChanged changed;
   CcMirrorPeer peer;
-  CcMirrorPeerEnd peer_ended;
+  CcMirrorPeerResult peer_result;
   gpointer data;
   const char *members_from; /* the rows of STATE that tell whom to follow: first
                                key, and first behind them; NULL: all rows */
@@ -52,7 +52,7 @@
 } CcMirrorSetup;
 
 CcMirror *cc_mirror_new (const CcMirrorSetup *setup);
-void cc_mirror_role (CcMirror *m, const CcMirrorRole *role);
+void cc_mirror_set_role (CcMirror *m, const CcMirrorRole *role);
 void cc_mirror_lease_renewed (CcMirror *m, guint64 version, gint64 seen_at);
 void cc_mirror_lease_written (CcMirror *m, guint64 version, gint64 sent,
                               GVariant *rows);
@@ -65,10 +65,10 @@
 gint64 cc_mirror_outage (const CcMirror *m);
 gint64 cc_mirror_own_outage (const CcMirror *m);
 gboolean cc_mirror_is_complete (const CcMirror *m, CcTableName name);
-gint64 cc_mirror_heard_at (const CcMirror *m);
+gint64 cc_mirror_answered_at (const CcMirror *m);
 gint64 cc_mirror_age (const CcMirror *m, gint64 now);
 GBytes *cc_mirror_rows_since (CcMirror *m, const guint64 *since, gint64 held);
-gboolean cc_mirror_has_news (const CcMirror *m, const guint64 *since);
+gboolean cc_mirror_has_updates (const CcMirror *m, const guint64 *since);
 
 /* Path at which a process answers its peers with cc_mirror_rows_since. */
 #define CC_MIRROR_PATH "/rows"
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -97,7 +97,7 @@
 
 /* Whether this copy has anything newer than SINCE. */
 gboolean
-cc_mirror_has_news (const CcMirror *m, const guint64 *since)
+cc_mirror_has_updates (const CcMirror *m, const guint64 *since)
 {
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     if (m->tables[i].complete && m->tables[i].view.upto > since[i])
@@ -401,7 +401,7 @@
   gint64 age = take_peer_answer (m, r, m->asked_followed, now, &outage);
 
   m->following = FALSE;
-  m->setup.peer_ended (m->followed, age >= 0, m->setup.data);
+  m->setup.peer_result (m->followed, age >= 0, m->setup.data);
   if (age >= 0 && age <= too_old (m))
     {
       m->lost = m->shared_outage = FALSE;
--- a/peer_server.c
+++ b/peer_server.c
@@ -85,7 +85,7 @@
   (void) server, (void) path;
   for (guint i = 0; i < CC_MIRROR_VERSIONS && parts[i] != NULL; i++)
     since[i] = g_ascii_strtoull (parts[i], NULL, 10);
-  if (wait <= 0 || cc_mirror_has_news (p->mirror, since))
+  if (wait <= 0 || cc_mirror_has_updates (p->mirror, since))
     answer (p, m, since, 0);
   else
     wait_for_news (p, m, since, wait);
@@ -108,13 +108,13 @@
 /* The mirror has changed: answers the peers that wait for it.  P may be NULL,
  * before it listens. */
 void
-cc_peer_server_tell (CcPeerServer *p)
+cc_peer_server_notify (CcPeerServer *p)
 {
   for (guint i = p != NULL ? p->askers->len : 0; i > 0; i--)
     {
       Asker *a = p->askers->pdata[i - 1];
 
-      if (cc_mirror_has_news (p->mirror, a->since))
+      if (cc_mirror_has_updates (p->mirror, a->since))
         answer_asker (a);
     }
 }
--- a/peer_server.h
+++ b/peer_server.h
@@ -8,6 +8,6 @@
 
 CcPeerServer *cc_peer_server_new (CcMirror *mirror, const char *address,
                                   char **message);
-void cc_peer_server_tell (CcPeerServer *p);
+void cc_peer_server_notify (CcPeerServer *p);
 
 #endif
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -159,7 +159,7 @@
 has_news (const Question *q)
 {
   if (q->kind == ASK)
-    return cc_mirror_has_news (q->peer->mirror, q->since);
+    return cc_mirror_has_updates (q->peer->mirror, q->since);
   return is_forgotten (q) ||
          (q->kind == WATCH && world.tables[q->name].upto > q->after);
 }
@@ -361,7 +361,7 @@
   const Node *n = data;
 
   if (n->members != NULL)
-    cc_members_peer_ended (n->members, address, answered);
+    cc_members_peer_result (n->members, address, answered);
 }
 
 static CcMembers *
@@ -434,11 +434,11 @@
   if (!is_news)
     return;
   cc_members_update (n->members, cc_mirror_view (n->mirror, CC_TABLE_STATE));
-  role = (CcMirrorRole){ .for_others = cc_members_is_followed (n->members),
+  role = (CcMirrorRole){ .is_followed = cc_members_is_followed (n->members),
                          .reads_all = cc_members_reads_all (n->members),
                          .distance = cc_members_distance (n->members),
                          .fleet = cc_members_count (n->members) };
-  cc_mirror_role (n->mirror, &role);
+  cc_mirror_set_role (n->mirror, &role);
 }
 
 static void
@@ -456,7 +456,7 @@
     {
       gboolean grants = world_node_at (row->value) == n;
       CcMirrorRole role = {
-        .for_others = grants || (world.relayed && n - world.nodes < RELAYS),
+        .is_followed = grants || (world.relayed && n - world.nodes < RELAYS),
         .reads_all = grants || n - world.nodes < FIRST_READERS,
         .distance = grants             ? 0
                     : is_leaf (n, row) ? 2
@@ -464,7 +464,7 @@
         .fleet = world.relayed ? LARGE : world.count
       };
 
-      cc_mirror_role (n->mirror, &role);
+      cc_mirror_set_role (n->mirror, &role);
     }
 }
 
--- a/test/test_listing.c
+++ b/test/test_listing.c
@@ -36,7 +36,7 @@
 
       for (gint64 now = TICK; now < TICKS * TICK && seen == 0; now += TICK)
         {
-          Call c = { cc_listing_ask (&l, now), now + answers[i] };
+          Call c = { cc_listing_request (&l, now), now + answers[i] };
 
           if (c.number != 0)
             g_array_append_val (calls, c);
@@ -64,14 +64,14 @@
 an_overtaken_list_is_dropped (void **state)
 {
   CcListing l = { 0 };
-  guint64 first = cc_listing_ask (&l, 0);
-  guint64 second = cc_listing_ask (&l, CC_LISTING_PERIOD);
+  guint64 first = cc_listing_request (&l, 0);
+  guint64 second = cc_listing_request (&l, CC_LISTING_PERIOD);
 
   (void) state;
   assert_true (cc_listing_answered (&l, second));
   assert_false (cc_listing_answered (&l, first));
   assert_true (
-      cc_listing_answered (&l, cc_listing_ask (&l, 2 * CC_LISTING_PERIOD)));
+      cc_listing_answered (&l, cc_listing_request (&l, 2 * CC_LISTING_PERIOD)));
 }
 
 int
--- a/test/test_members.c
+++ b/test/test_members.c
@@ -295,7 +295,7 @@
   assert_true (drawn[0] > 0 && drawn[1] > 0 && drawn[2] > 0);
   for (guint i = 0; i < 5; i++)
     {
-      cc_members_peer_ended (m, "10.0.0.1:1", FALSE);
+      cc_members_peer_result (m, "10.0.0.1:1", FALSE);
       draw (m, drawn);
       assert_true (drawn[0] > 0 && drawn[1] == 0 && drawn[2] > 0);
       cc_clock_advance ((CC_SECOND << i) - 1);
@@ -305,15 +305,15 @@
       draw (m, drawn);
       assert_true (drawn[1] > 0);
     }
-  cc_members_peer_ended (m, "10.0.0.1:1", FALSE);
-  cc_members_peer_ended (m, "10.0.0.1:1", TRUE);
+  cc_members_peer_result (m, "10.0.0.1:1", FALSE);
+  cc_members_peer_result (m, "10.0.0.1:1", TRUE);
   draw (m, drawn);
   assert_true (drawn[1] > 0);
   for (guint i = 0; i < 3; i++)
     {
       g_autofree char *address = g_strdup_printf ("10.0.0.%u:1", i);
 
-      cc_members_peer_ended (m, address, FALSE);
+      cc_members_peer_result (m, address, FALSE);
     }
   draw (m, drawn);
   assert_int_equal (drawn[0] + drawn[1] + drawn[2], DRAWS_MADE);
@@ -426,7 +426,7 @@
     {
       g_autofree char *address = g_strdup_printf ("10.0.0.%u:1", c->silent[i]);
 
-      cc_members_peer_ended (m, address, FALSE);
+      cc_members_peer_result (m, address, FALSE);
     }
   followed = drawn_members (m);
   if (!g_str_equal (followed, c->followed))
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -326,7 +326,7 @@
   parts = g_strsplit_set (at + strlen ("since="), ",&", -1);
   for (guint i = 0; i < CC_MIRROR_VERSIONS && parts[i] != NULL; i++)
     since[i] = g_ascii_strtoull (parts[i], NULL, 10);
-  if (world.holds || (in_time && !cc_mirror_has_news (world.source, since)))
+  if (world.holds || (in_time && !cc_mirror_has_updates (world.source, since)))
     return NULL;
   body = cc_mirror_rows_since (world.source, since, held);
   if (world.damages)
@@ -376,12 +376,12 @@
                         .http = http,
                         .changed = on_rows,
                         .peer = peer != NULL ? the_peer : no_peer,
-                        .peer_ended = on_peer_ended,
+                        .peer_result = on_peer_ended,
                         .data = peer });
-  cc_mirror_role (m, &(CcMirrorRole){ .for_others = distance == 0,
-                                      .reads_all = distance == 0,
-                                      .distance = distance,
-                                      .fleet = 100 });
+  cc_mirror_set_role (m, &(CcMirrorRole){ .is_followed = distance == 0,
+                                          .reads_all = distance == 0,
+                                          .distance = distance,
+                                          .fleet = 100 });
   cc_mirror_start (m, 0);
   return m;
 }
