--- a/mirror.c
+++ b/mirror.c
@@ -1,71 +1,76 @@
-/* Each table is read whole once and then watched: the table service answers a
- * watch as soon as something has changed.  Where the service forgets its
- * history, the table is read whole again.  How the copies of other processes
- * are followed stands in mirror_peers.c.
+/* Keeps a local copy of the replicated tables.  Each table is read whole once
+ * and then watched by long polls, which the table service answers as soon as a
+ * row changes.  If the service has discarded the history that a watch needs,
+ * the table is read whole again.  mirror_peers.c follows the copies of other
+ * processes.
  *
- * Load pattern: the service is down for all, and every process asks it again
- * and again for each table, thousands of calls in a few seconds.  So in an
- * outage only the configuration is asked for, and in a large fleet most
- * processes ask rarely: they hear from those that ask often. */
+ * Load pattern: the service is down for the whole fleet, and every process
+ * retries each table, which makes thousands of calls in a few seconds.  So
+ * during an outage only the configuration is queried, and in a large fleet most
+ * processes retry rarely: they learn of the recovery from the processes that
+ * retry often. */
 #include "mirror.h"
 
 #include "clock.h"
 #include "event_log.h"
 #include "mirror_state.h"
 
-/* The watch of ranges and members is asked anew after so long without a change.
- * Failure: the answer of one is lost, alone, and its connection delivers
- * nothing more; until it is given up this copy, and all that go by it, lack
- * what has changed.  A request that goes by an old range is turned away by the
- * upstream and sent on, so that this watch may be slower than the others. */
+/* Longest wait of a watch of ranges and members.
+ * Failure: the answer to one watch is lost and its connection delivers nothing
+ * more; until the call times out, this copy and all copies that follow it miss
+ * every change.  A request that is routed by a stale range is rejected by the
+ * upstream and rerouted, so this watch may be slower than the others. */
 #define WATCH_WAIT (2 * CC_SECOND)
-/* Pause after a failed call; doubled each time up to the longest.  The longest
- * bounds how late a change is seen when the service is back. */
-#define PAUSE_FIRST (60 * CC_MS)
-#define PAUSE_MAX (350 * CC_MS)
-/* In a fleet of more than FLEET_SMALL the pause of those that nobody follows
- * grows with the fleet, so that all together ask as often as a small one. */
-#define FLEET_SMALL 12
-#define PAUSE_LONGEST (10 * CC_SECOND)
-#define PAUSE_FIRST_PART 0.125 /* ... of that, for the first */
-/* In an outage the other tables are asked for when the configuration's answer
- * shows that the service is back, or after this long. */
-#define PAUSE_OTHERS (3 * CC_SECOND)
-/* Who watches hears from the service this often, by each of the watches of what
- * has a bound: a change of the configuration has to be in force everywhere
- * within 2 s, and an upstream that leaves serves for no longer.
+/* Pause after a failed call, doubled with each failure.  The maximum bounds the
+ * delay of a change after the service has recovered. */
+#define RETRY_MIN (60 * CC_MS)
+#define RETRY_MAX (350 * CC_MS)
+/* In a fleet of more than SMALL_FLEET processes, the maximum pause of those
+ * that nobody follows grows with the size of the fleet, so that the whole fleet
+ * makes as many calls as a small one. */
+#define SMALL_FLEET 12
+#define RETRY_MAX_LARGE (10 * CC_SECOND)
+#define RETRY_FIRST_PART 0.125 /* the first pause, as a part of the maximum */
+/* During an outage the other tables are queried when an answer for the
+ * configuration shows that the service has recovered, or after this pause. */
+#define RETRY_OTHER_TABLES (3 * CC_SECOND)
+/* Longest wait of a watch of the configuration and of upstreams.  Both have a
+ * bound: a change of the configuration must be in force everywhere within 2 s,
+ * and an upstream that leaves serves for no longer than that.
  *
- * Failure: one watch is lost, of upstreams, while the other is answered.
- * Symptom: the copy passes for new, here and at all that go by it, and requests
- * are sent to upstreams that have ended.  So it is as old as the older of the
- * two, and a lost watch shows like a lost granter.  Only the few processes that
- * watch pay for it. */
-#define WATCH_FRESH (600 * CC_MS)
-/* All processes of a fleet start together and register; nothing is served yet,
- * and news may come in larger pieces. */
-#define STARTING (5 * CC_SECOND)
-#define STARTING_PAUSE (600 * CC_MS)
-#define OWN_ROWS_PAUSE                                                         \
-  (300 * CC_MS) /* ... where the process writes most rows */
-/* A process that starts reads who is there, and has all other rows from the one
- * that it follows.  If that one can't give them within this time, or there is
- * none, it reads them itself. */
-#define START_TIMEOUT (1 * CC_SECOND)
+ * Failure: the watch of upstreams is lost while that of the configuration is
+ * answered.  Symptom: this copy and all copies that follow it count as fresh,
+ * and requests are sent to upstreams that have exited.  So a copy is as old as
+ * the older of the two tables, and a lost watch is detected like a lost
+ * granter.  Only the few processes that watch directly pay for the extra calls.
+ */
+#define FRESHNESS_WAIT (600 * CC_MS)
+/* Right after the start all processes of a fleet register at once.  Nothing is
+ * served yet, so updates may be taken in larger batches. */
+#define STARTUP_SPAN (5 * CC_SECOND)
+#define STARTUP_PAUSE (600 * CC_MS)
+/* Pause after an update of STATE at the granter, which writes most of its rows
+ * itself. */
+#define OWN_ROWS_PAUSE (300 * CC_MS)
+/* A process that starts reads the members and receives all other rows from the
+ * peer that it follows.  It reads them itself if there is no such peer, or if
+ * the peer has not delivered them within this time. */
+#define PEER_ROWS_TIMEOUT (1 * CC_SECOND)
 
 /* A call to the service about one table. */
 typedef struct
 {
   CcMirrorTable *table;
-  guint number; /* among its calls */
-  gint64 asked; /* us */
-  gint64 wait;  /* for news, us */
+  guint number;   /* value of TABLE's call counter */
+  gint64 sent_at; /* when it was sent, us */
+  gint64 wait;    /* longest wait for a change, us */
 } Call;
 
-/* Pause between an answer with news and the next watch.  When many rows change
- * one after the other, as upstreams do that start together, each would else
- * cost every process of the fleet a call.  Ranges of keys are short of time:
- * requests wait for them. */
-static const gint64 news_pause[CC_TABLE_FOLLOWED] = {
+/* Pause between an answer that brought changes and the next watch.  Without it,
+ * rows that change one after the other, as when many upstreams start together,
+ * would cost each watching process a call each.  The pause for STATE is short
+ * because requests wait for changes of key ranges. */
+static const gint64 update_pause[CC_TABLE_FOLLOWED] = {
   [CC_TABLE_CONFIG] = 200 * CC_MS,
   [CC_TABLE_UPSTREAMS] = 250 * CC_MS,
   [CC_TABLE_STATE] = 15 * CC_MS,
@@ -76,7 +81,7 @@
 
 static void watch (CcMirrorTable *t);
 
-/* A mirror that goes by SETUP, whose objects must last. */
+/* Creates a mirror.  The objects that SETUP points to must outlive it. */
 CcMirror *
 cc_mirror_new (const CcMirrorSetup *setup)
 {
@@ -87,7 +92,7 @@
     {
       m->tables[i].mirror = m;
       m->tables[i].name = (CcTableName) i;
-      m->tables[i].pause = PAUSE_FIRST;
+      m->tables[i].pause = RETRY_MIN;
       cc_view_init (&m->tables[i].view);
       m->tables[i].changed = g_ptr_array_new ();
     }
@@ -95,17 +100,17 @@
 }
 
 static void
-on_pause_over (gpointer data)
+on_watch_timer (gpointer data)
 {
   watch (data);
 }
 
-/* The service is back.  Failure: it swallowed a watch of another table while it
- * was silent, and this entry would wait for its end in vain for seconds.  So
- * each other table is asked for anew, and the older call's answer is not waited
- * for. */
+/* Restarts the queries of all other tables after the service has recovered.
+ * Failure: the service dropped a watch of another table during the outage, and
+ * this process waits seconds for an answer that never comes.  So each other
+ * table is queried again, and the answer to the older call is ignored. */
 static void
-ask_for_others (CcMirror *m)
+query_other_tables (CcMirror *m)
 {
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     {
@@ -113,21 +118,22 @@
 
       if (i == CC_TABLE_CONFIG || (!t->running && !t->unavailable))
         continue;
-      t->unproven = TRUE;
-      cc_timer_start (&t->timer, 0, on_pause_over, t);
+      t->unconfirmed = TRUE;
+      cc_timer_start (&t->timer, 0, on_watch_timer, t);
     }
 }
 
-/* Takes the Call DATA and frees it.  STATUS, ROWS and UPTO are its answer.
- * NULL: a later one was made since. */
+/* Finishes the Call DATA, whose answer is STATUS, ROWS and UPTO, and frees it.
+ * Returns its table, or NULL if a later call replaced it. */
 static CcMirrorTable *
-end_call (gpointer data, CcStatus status, GVariant *rows, guint64 upto)
+finish_call (gpointer data, CcStatus status, GVariant *rows, guint64 upto)
 {
   Call *c = data;
   CcMirrorTable *t = c->table;
   gboolean is_last = c->number == t->calls;
-  /* Without news it was answered when its wait was over. */
-  gint64 answered = c->asked + (g_variant_n_children (rows) == 0 ? c->wait : 0);
+  /* An answer without changes was given when the wait was over. */
+  gint64 answered =
+      c->sent_at + (g_variant_n_children (rows) == 0 ? c->wait : 0);
 
   if (status == CC_OK)
     {
@@ -138,90 +144,93 @@
   return is_last ? t : NULL;
 }
 
-/* The service answered this process or a peer between EARLIEST and LATEST, us.
+/* Records that the service answered this process or a peer between EARLIEST
+ * and LATEST, us.
  *
- * Failure: it was silent for a moment, and the call that it swallowed is given
- * up seconds later, while other calls are answered all the time.  Symptom: the
- * outage is taken to have lasted until then, so deletions of just now are
- * doubted, and upstreams that left without a word are sent to after they have
- * ended.  The service was silent until its first answer after the outage at
- * the latest, whoever got that; what comes later moves nothing. */
+ * Failure: the service stalls for a moment, and the call that it dropped times
+ * out seconds later, while other calls are answered all the time.  Symptom: the
+ * outage appears to have lasted until that timeout, so recent deletions are
+ * treated as uncertain, and requests are sent to upstreams that exited without
+ * notice.  The outage ended at the first answer after it at the latest,
+ * whichever process received that; later answers don't move its end. */
 void
-cc_mirror_service_well (CcMirror *m, gint64 earliest, gint64 latest)
+cc_mirror_service_answered (CcMirror *m, gint64 earliest, gint64 latest)
 {
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     {
       CcMirrorTable *t = &m->tables[i];
 
-      if (!t->unavailable || t->relieved || earliest <= t->failed_asked)
+      if (!t->unavailable || t->recovered || earliest <= t->failed_call_at)
         continue;
       t->outage_at = latest;
-      t->relieved = TRUE;
+      t->recovered = TRUE;
     }
 }
 
 static void
-note_answer (CcMirrorTable *t)
+record_answer (CcMirrorTable *t)
 {
   CcMirror *m = t->mirror;
   gint64 now = cc_clock_now ();
 
-  m->heard_at = m->answered_at = now;
-  /* By when the answer was given and not by when it came, or what was on its
-   * way for a while, or waited for a process that stood still, would pass for
-   * new at all that go by this copy. */
+  m->last_answer_at = m->answered_at = now;
+  /* Freshness counts from when the answer was given, not from its arrival:
+   * otherwise an answer that was delayed in transit, or while this process was
+   * paused, would count as fresh here and at all that follow this copy. */
   t->fresh_at = MAX (t->fresh_at, t->answered);
   m->fresh_at = MAX (m->fresh_at, MIN (m->tables[CC_TABLE_CONFIG].fresh_at,
                                        m->tables[CC_TABLE_UPSTREAMS].fresh_at));
-  t->unproven = FALSE;
-  t->pause = PAUSE_FIRST;
-  cc_mirror_service_well (m, t->answered, now);
+  t->unconfirmed = FALSE;
+  t->pause = RETRY_MIN;
+  cc_mirror_service_answered (m, t->answered, now);
   if (m->refreshing && t->name == CC_TABLE_CONFIG)
-    cc_mirror_ask_all (m);
+    cc_mirror_query_all (m);
   if (!t->unavailable)
     return;
   t->unavailable = FALSE;
   cc_event (CC_EVENT_STATE, "table-regained", "table", table_names[t->name],
             "gone_ms", cc_event_int ((now - t->outage_from) / CC_MS), NULL);
   if (t->name == CC_TABLE_CONFIG)
-    ask_for_others (m);
+    query_other_tables (m);
 }
 
 static gint64
-longest_pause (const CcMirror *m)
+retry_pause_max (const CcMirror *m)
 {
-  if (m->role.is_followed || m->role.fleet <= FLEET_SMALL)
-    return PAUSE_MAX;
-  return MIN (PAUSE_MAX * m->role.fleet / FLEET_SMALL, PAUSE_LONGEST);
+  if (m->role.is_followed || m->role.fleet <= SMALL_FLEET)
+    return RETRY_MAX;
+  return MIN (RETRY_MAX * m->role.fleet / SMALL_FLEET, RETRY_MAX_LARGE);
 }
 
 static gint64
-first_pause (const CcMirror *m)
+retry_pause_first (const CcMirror *m)
 {
-  gint64 longest = longest_pause (m);
+  gint64 longest = retry_pause_max (m);
 
-  return longest > PAUSE_MAX ? (gint64) (PAUSE_FIRST_PART * (double) longest)
+  return longest > RETRY_MAX ? (gint64) (RETRY_FIRST_PART * (double) longest)
                              : 0;
 }
 
-/* Load pattern: the service is down for some seconds, and hundreds of processes
- * ask it again.  Nobody goes by their copies, and they hear of its return from
- * those that they follow. */
+/* Returns the pause after a failed call about T, with jitter, us.
+ *
+ * Load pattern: the service is down for some seconds, and hundreds of processes
+ * retry.  Those that nobody follows may retry rarely, since they learn of the
+ * recovery from the peers that they follow. */
 static gint64
-pause_after_failure (const CcMirrorTable *t)
+retry_pause (const CcMirrorTable *t)
 {
   const CcMirror *m = t->mirror;
   gint64 pause = MAX (t->pause, 20 * CC_MS);
 
   if (t->name != CC_TABLE_CONFIG && m->tables[CC_TABLE_CONFIG].unavailable &&
       m->tables[CC_TABLE_CONFIG].complete && t->complete)
-    pause = MAX (PAUSE_OTHERS, longest_pause (m));
+    pause = MAX (RETRY_OTHER_TABLES, retry_pause_max (m));
   else
-    pause = MAX (pause, first_pause (m));
+    pause = MAX (pause, retry_pause_first (m));
   return pause + (gint64) (g_random_double () * (double) pause / 2);
 }
 
-/* Whether the last call about some table failed. */
+/* Returns TRUE if the last call about any table failed. */
 gboolean
 cc_mirror_is_cut_off (const CcMirror *m)
 {
@@ -231,8 +240,8 @@
   return FALSE;
 }
 
-/* When the service was last silent to this process, as far as that can be told,
- * us; 0: never. */
+/* Returns the latest time at which the last outage that this process observed
+ * can have ended, us; 0 if there was none. */
 gint64
 cc_mirror_last_outage (const CcMirror *m)
 {
@@ -244,16 +253,16 @@
 }
 
 static void
-note_failure (CcMirrorTable *t, const char *why)
+record_failure (CcMirrorTable *t, const char *why)
 {
   CcMirror *m = t->mirror;
   gint64 now = cc_clock_now ();
 
-  /* A call that was swallowed long ago is no sign of an outage after an answer
-   * to a later one, whoever got that. */
-  t->failed_asked = t->asked;
-  t->relieved = MAX (m->answered_at, m->others_fresh) > t->asked;
-  t->outage_at = t->relieved ? MAX (t->asked, t->outage_at) : now;
+  /* A call that was dropped long ago is no sign of a present outage if this
+   * process or a peer got an answer to a later call. */
+  t->failed_call_at = t->sent_at;
+  t->recovered = MAX (m->answered_at, m->peers_fresh_at) > t->sent_at;
+  t->outage_at = t->recovered ? MAX (t->sent_at, t->outage_at) : now;
   if (!t->unavailable)
     {
       t->outage_from = now;
@@ -262,11 +271,12 @@
                 NULL);
     }
   t->unavailable = TRUE;
-  cc_timer_start (&t->timer, pause_after_failure (t), on_pause_over, t);
-  t->pause = MIN (2 * t->pause, longest_pause (m));
+  cc_timer_start (&t->timer, retry_pause (t), on_watch_timer, t);
+  t->pause = MIN (2 * t->pause, retry_pause_max (m));
   if (m->shared_outage)
-    t->pause = MAX (t->pause, MIN (2 * first_pause (m), longest_pause (m)));
-  cc_mirror_ask_anyone (m);
+    t->pause =
+        MAX (t->pause, MIN (2 * retry_pause_first (m), retry_pause_max (m)));
+  cc_mirror_poll_peers (m);
 }
 
 static gboolean
@@ -278,7 +288,7 @@
   return TRUE;
 }
 
-/* Notifies the owner that rows of T have changed. */
+/* Notifies the owner that the rows in T->changed have changed. */
 void
 cc_mirror_notify (CcMirrorTable *t)
 {
@@ -286,13 +296,13 @@
   g_ptr_array_set_size (t->changed, 0);
 }
 
-/* Takes ROWS of T.  Returns TRUE if any was news.
+/* Merges ROWS into T.  Returns TRUE if any row was newer than the one held.
  *
- * Failure: this process was started again and read the table; a peer with an
- * older copy gives it a row that was deleted before that.  Symptom: requests go
- * to an upstream that is gone, for ever, since nothing tells of the deletion a
- * second time.  So a row from before what this copy is complete up to is not
- * taken: it is either held or deleted. */
+ * Failure: this process was restarted and read the table; a peer with an older
+ * copy then sends it a row that had been deleted before the read.  Symptom:
+ * requests go to an upstream that no longer exists, for good, since the
+ * deletion is not reported a second time.  So a row with a version up to which
+ * this copy is complete is ignored: it is either held already or deleted. */
 gboolean
 cc_mirror_put_rows (CcMirrorTable *t, GVariant *rows)
 {
@@ -309,16 +319,17 @@
   return changed;
 }
 
-/* Rows that are held and that ROWS, all of the table at UPTO, do not have were
+/* Marks the held rows that are missing in ROWS, the whole table at UPTO, as
  * deleted, unless they are newer.
  *
- * Failure: a deletion that is found by a whole reading bears the version of
- * that reading, and those who have it from here take it for no older.  Symptom:
- * they send to an upstream for longer than it serves.  All that is known is
- * that the row was deleted after it was written, so it bears the next version.
+ * Failure: a deletion that is detected by a full read gets the version of that
+ * read, and processes that follow this copy take it for no older than that.
+ * Symptom: they send to an upstream for longer than it serves.  All that is
+ * known is that the row was deleted after it was written, so the deletion gets
+ * the version that follows the row's.
  */
 static gboolean
-drop_missing (CcMirrorTable *t, GVariant *rows, guint64 upto)
+delete_missing (CcMirrorTable *t, GVariant *rows, guint64 upto)
 {
   g_autoptr (GHashTable) present = g_hash_table_new (g_str_hash, g_str_equal);
   g_autoptr (GPtrArray) held = cc_view_list (&t->view, "");
@@ -341,13 +352,14 @@
   return changed;
 }
 
-/* Takes ROWS, all of T at UPTO.  Returns TRUE if T has changed. */
+/* Replaces the contents of T by ROWS, the whole table at UPTO; newer rows stay.
+ * Returns TRUE if T has changed. */
 gboolean
-cc_mirror_put_whole (CcMirrorTable *t, GVariant *rows, guint64 upto)
+cc_mirror_put_snapshot (CcMirrorTable *t, GVariant *rows, guint64 upto)
 {
   gboolean changed = cc_mirror_put_rows (t, rows);
 
-  changed |= drop_missing (t, rows, upto);
+  changed |= delete_missing (t, rows, upto);
   changed |= !t->complete;
   t->complete = TRUE;
   t->history_from = MAX (t->history_from, upto);
@@ -355,26 +367,28 @@
   return changed;
 }
 
-/* Load pattern: ranges move, and the process that grants them writes rows ten
- * to twenty times a second.  It knows these rows, and need not be told of each;
- * its watch is for the few that others write. */
+/* Returns the pause between an answer with changes of T and the next watch, us.
+ *
+ * Load pattern: ranges move, and the granter writes rows ten to twenty times a
+ * second.  It applies its own writes at once, so its watch only has to report
+ * the few rows that other processes write. */
 static gint64
-pause_after_rows (const CcMirrorTable *t)
+pause_after_update (const CcMirrorTable *t)
 {
   const CcMirror *m = t->mirror;
 
-  if (cc_clock_now () - m->started_at < STARTING)
-    return MAX (news_pause[t->name], STARTING_PAUSE);
+  if (cc_clock_now () - m->started_at < STARTUP_SPAN)
+    return MAX (update_pause[t->name], STARTUP_PAUSE);
   if (t->name == CC_TABLE_STATE && m->role.distance == 0)
     return OWN_ROWS_PAUSE;
-  return news_pause[t->name];
+  return update_pause[t->name];
 }
 
 static void
-on_watched (CcStatus status, GVariant *rows, guint64 upto, const char *why,
-            gpointer data)
+on_watch_done (CcStatus status, GVariant *rows, guint64 upto, const char *why,
+               gpointer data)
 {
-  CcMirrorTable *t = end_call (data, status, rows, upto);
+  CcMirrorTable *t = finish_call (data, status, rows, upto);
 
   if (t == NULL)
     return;
@@ -383,27 +397,28 @@
       cc_event (CC_EVENT_STATE, "history-forgotten", "table",
                 table_names[t->name], "version",
                 cc_event_int ((gint64) t->view.upto), NULL);
-      /* Whoever is followed may lack what this question was about. */
+      /* The followed peer may lack the same changes, so the table is read from
+       * the service. */
       t->view.upto = 0;
-      cc_mirror_ask_service (t);
+      cc_mirror_query_service (t);
       return;
     }
   else if (status != CC_OK)
     {
-      note_failure (t, why);
+      record_failure (t, why);
       return;
     }
   else
     {
-      gboolean news = cc_mirror_put_rows (t, rows);
+      gboolean changed = cc_mirror_put_rows (t, rows);
 
-      note_answer (t);
+      record_answer (t);
       cc_view_advance (&t->view, t->view.upto, upto);
-      if (news)
+      if (changed)
         cc_mirror_notify (t);
       if (g_variant_n_children (rows) > 0)
         {
-          cc_timer_start (&t->timer, pause_after_rows (t), on_pause_over, t);
+          cc_timer_start (&t->timer, pause_after_update (t), on_watch_timer, t);
           return;
         }
     }
@@ -411,64 +426,67 @@
 }
 
 static void
-on_read (CcStatus status, GVariant *rows, guint64 upto, const char *why,
-         gpointer data)
+on_read_done (CcStatus status, GVariant *rows, guint64 upto, const char *why,
+              gpointer data)
 {
-  CcMirrorTable *t = end_call (data, status, rows, upto);
+  CcMirrorTable *t = finish_call (data, status, rows, upto);
 
   if (t == NULL)
     return;
   if (status != CC_OK)
     {
-      note_failure (t, why);
+      record_failure (t, why);
       return;
     }
-  note_answer (t);
-  if (cc_mirror_put_whole (t, rows, upto))
+  record_answer (t);
+  if (cc_mirror_put_snapshot (t, rows, upto))
     cc_mirror_notify (t);
   watch (t);
 }
 
-/* Goes on by the rows of the one that is to be followed, or reads them where
- * there is none. */
+/* The members are read: goes on with the rows of the peer to follow, or reads
+ * the rest of the table if there is none. */
 static void
 on_members_read (CcStatus status, GVariant *rows, guint64 upto, const char *why,
                  gpointer data)
 {
-  CcMirrorTable *t = end_call (data, status, rows, upto);
+  CcMirrorTable *t = finish_call (data, status, rows, upto);
 
   if (t == NULL)
     return;
   if (status != CC_OK)
     {
-      note_failure (t, why);
+      record_failure (t, why);
       return;
     }
-  note_answer (t);
+  record_answer (t);
   t->mirror->knows_members = TRUE;
   if (cc_mirror_put_rows (t, rows))
     cc_mirror_notify (t);
   t->running = FALSE;
   if (!cc_mirror_awaits_peer (t) || !cc_mirror_follow (t->mirror))
-    cc_mirror_ask_service (t);
+    cc_mirror_query_service (t);
 }
 
-/* The watches of the configuration and of upstreams are the heartbeat by which
- * this process knows that it hears from the service, and others how fresh its
- * copy is; after a pause they wait for less. */
+/* Returns how long the next watch of T may wait for a change, us.
+ *
+ * The watches of the configuration and of upstreams are the heartbeat by which
+ * this process knows that the service is reachable, and peers how fresh its
+ * copy is.  The time since the last answer counts against the wait. */
 static gint64
 watch_wait (const CcMirrorTable *t)
 {
-  /* After an outage the first answer is wanted at once, whether or not anything
-   * has changed: until then deletions are doubted (targets.h).  And the service
-   * may have swallowed a question that began while it was silent: one that is
-   * to be answered at once shows that soon. */
-  if (t->unavailable || t->unproven)
+  /* After an outage the first answer is needed at once, even without a change:
+   * until it arrives, deletions are treated as uncertain (targets.h).  And if
+   * the service drops a call that was sent during its outage, a call that
+   * should be answered at once reveals that early. */
+  if (t->unavailable || t->unconfirmed)
     return 0;
   if (t->name == CC_TABLE_STATE)
     return WATCH_WAIT;
-  /* In whole milliseconds, as the service counts them. */
-  return CLAMP (t->fresh_at + WATCH_FRESH - cc_clock_now (), 0, WATCH_FRESH) /
+  /* The service takes the wait in whole milliseconds. */
+  return CLAMP (t->fresh_at + FRESHNESS_WAIT - cc_clock_now (), 0,
+                FRESHNESS_WAIT) /
          CC_MS * CC_MS;
 }
 
@@ -479,14 +497,15 @@
 
   c->table = t;
   c->number = ++t->calls;
-  c->asked = t->asked = cc_clock_now ();
+  c->sent_at = t->sent_at = cc_clock_now ();
   c->wait = wait;
   return c;
 }
 
-/* Asks the service for T. */
+/* Sends the next call about T to the service: a read of the members, a read of
+ * the whole table, or a watch. */
 void
-cc_mirror_ask_service (CcMirrorTable *t)
+cc_mirror_query_service (CcMirrorTable *t)
 {
   CcMirror *m = t->mirror;
   gint64 wait = watch_wait (t);
@@ -497,17 +516,18 @@
     cc_table_read_span (m->setup.table, t->name, m->setup.members_from,
                         m->setup.members_to, on_members_read, new_call (t, 0));
   else if (t->view.upto == 0 || !t->complete)
-    cc_table_read (m->setup.table, t->name, NULL, on_read, new_call (t, 0));
+    cc_table_read (m->setup.table, t->name, NULL, on_read_done,
+                   new_call (t, 0));
   else
-    cc_table_watch (m->setup.table, t->name, t->view.upto, wait, on_watched,
+    cc_table_watch (m->setup.table, t->name, t->view.upto, wait, on_watch_done,
                     new_call (t, wait));
 }
 
-/* Whether the rows of T, which is not complete, are expected of a peer.
+/* Returns TRUE if T is not complete and its rows are expected from a peer.
  *
  * Load pattern: hundreds of processes start together, and each reads every
- * table from the service, page by page: a dozen calls each within two seconds.
- */
+ * table from the service page by page, which takes about twelve calls each
+ * within two seconds. */
 gboolean
 cc_mirror_awaits_peer (const CcMirrorTable *t)
 {
@@ -517,22 +537,23 @@
          !m->role.reads_all && cc_clock_now () < m->start_until;
 }
 
-/* Whether this process watches by itself: while the one that it lost is still
- * the one to be followed. */
+/* Returns TRUE while this process watches the service directly because the peer
+ * that it lost is still the one to follow. */
 static gboolean
-watches_itself (CcMirror *m)
+watches_directly (CcMirror *m)
 {
   g_autofree char *address = NULL;
 
-  if (cc_clock_now () >= m->self_until)
+  if (cc_clock_now () >= m->direct_until)
     return FALSE;
   address = m->setup.peer (CC_PEER_FOLLOWED, m->setup.data);
   if (g_strcmp0 (address, m->lost_address) != 0)
-    m->self_until = 0;
-  return m->self_until != 0;
+    m->direct_until = 0;
+  return m->direct_until != 0;
 }
 
-/* Goes on with T: by another's copy if there is one to follow. */
+/* Continues to track T: through a peer's copy if there is a peer to follow,
+ * otherwise through the service. */
 static void
 watch (CcMirrorTable *t)
 {
@@ -541,12 +562,12 @@
   t->running = FALSE;
   if (cc_mirror_awaits_peer (t))
     return;
-  if (!t->complete || t->unavailable || watches_itself (m) ||
+  if (!t->complete || t->unavailable || watches_directly (m) ||
       !cc_mirror_follow (m))
-    cc_mirror_ask_service (t);
+    cc_mirror_query_service (t);
 }
 
-/* Frees M; its calls must have ended or never end. */
+/* Frees M.  None of its pending calls may end afterwards. */
 void
 cc_mirror_free (CcMirror *m)
 {
@@ -556,15 +577,15 @@
       cc_view_clear (&m->tables[i].view);
       g_ptr_array_unref (m->tables[i].changed);
     }
-  cc_timer_stop (&m->asks);
-  cc_timer_stop (&m->again);
+  cc_timer_stop (&m->poll_timer);
+  cc_timer_stop (&m->follow_timer);
   cc_timer_stop (&m->start);
   g_free (m->followed);
   g_free (m->lost_address);
   g_free (m);
 }
 
-/* Reads what is not read yet. */
+/* Starts to read the tables that are not complete yet. */
 static void
 read_missing (CcMirror *m)
 {
@@ -584,12 +605,12 @@
 {
   CcMirror *m = data;
 
-  m->start_until = cc_clock_now () + START_TIMEOUT;
-  cc_timer_start (&m->start, START_TIMEOUT, on_start_timeout, m);
+  m->start_until = cc_clock_now () + PEER_ROWS_TIMEOUT;
+  cc_timer_start (&m->start, PEER_ROWS_TIMEOUT, on_start_timeout, m);
   read_missing (m);
 }
 
-/* Begins to follow after PAUSE, us. */
+/* Starts to read and follow the tables after PAUSE, us. */
 void
 cc_mirror_start (CcMirror *m, gint64 pause)
 {
@@ -600,7 +621,7 @@
     on_start (m);
 }
 
-/* From now on this process has ROLE. */
+/* Sets the role of this process. */
 void
 cc_mirror_set_role (CcMirror *m, const CcMirrorRole *role)
 {
@@ -609,20 +630,20 @@
     read_missing (m);
 }
 
-/* The lease's row has had VERSION since SEEN_AT, us, by this process's own
- * write or a peer's word. */
+/* Records that the lease's row has had VERSION since SEEN_AT, us, by this
+ * process's own write or a peer's update. */
 void
 cc_mirror_lease_renewed (CcMirror *m, guint64 version, gint64 seen_at)
 {
   if (version <= m->lease)
     return;
   m->lease = version;
-  m->lease_at = seen_at;
+  m->lease_seen_at = seen_at;
   m->setup.changed (CC_TABLE_LEASE, m->setup.data);
 }
 
-/* This process's own write to the lease's row, SENT, took effect as VERSION,
- * with ROWS (a(sts)) of STATE. */
+/* Records that this process's own write to the lease's row, sent at SENT, us,
+ * took effect as VERSION together with ROWS (a(sts)) of STATE. */
 void
 cc_mirror_lease_written (CcMirror *m, guint64 version, gint64 sent,
                          GVariant *rows)
@@ -637,73 +658,76 @@
   cc_mirror_lease_renewed (m, version, cc_clock_now ());
 }
 
-/* The newest version of the lease's row that was heard of, 0 if none, which was
- * first seen at *SEEN_AT, us. */
+/* Returns the newest known version of the lease's row, 0 if none, and in
+ * *SEEN_AT when it was first seen, us. */
 guint64
 cc_mirror_lease (const CcMirror *m, gint64 *seen_at)
 {
-  *seen_at = m->lease_at;
+  *seen_at = m->lease_seen_at;
   return m->lease;
 }
 
-/* The rows of table NAME. */
+/* Returns the rows of table NAME. */
 CcView *
 cc_mirror_view (CcMirror *m, CcTableName name)
 {
   return &m->tables[name].view;
 }
 
-/* The rows (CcRow) that a call of CHANGED about table NAME is about, during
- * that call. */
+/* Returns the changed rows (CcRow) of table NAME; valid only during a call of
+ * the CHANGED callback. */
 const GPtrArray *
 cc_mirror_changed (const CcMirror *m, CcTableName name)
 {
   return m->tables[name].changed;
 }
 
-/* Whether table NAME was read whole, so that what it lacks is not there. */
+/* Returns TRUE if table NAME was read whole, so that a missing row does not
+ * exist. */
 gboolean
 cc_mirror_is_complete (const CcMirror *m, CcTableName name)
 {
   return m->tables[name].complete;
 }
 
-/* When the service's versions were written. */
+/* Returns the clock that tells when versions of the service were written. */
 const CcVersionClock *
 cc_mirror_clock (const CcMirror *m)
 {
   return &m->clock;
 }
 
-/* When a call to the table service last failed this process or the one that it
- * follows, though it may have answered others all the while, us; 0: never. */
+/* Returns when a call to the table service last failed for this process or the
+ * peer that it follows, us; 0 if never.  The service may have answered other
+ * processes all the time. */
 gint64
 cc_mirror_own_outage (const CcMirror *m)
 {
   return MAX (m->followed_outage, cc_mirror_last_outage (m));
 }
 
-/* When the table service last failed, as far as is known for all, us; 0: never.
- */
+/* Returns when the table service last failed, us; 0 if never.  An outage that a
+ * peer with a fresher copy did not observe does not count. */
 gint64
 cc_mirror_outage (const CcMirror *m)
 {
   gint64 last = cc_mirror_last_outage (m);
 
-  return last <= m->others_fresh ? MIN (last, m->others_outage) : last;
+  return last <= m->peers_fresh_at ? MIN (last, m->peers_outage_at) : last;
 }
 
-/* When the table service or the peer that is followed last answered, us; 0:
+/* Returns when the table service or the followed peer last answered, us; 0 if
  * never. */
 gint64
 cc_mirror_answered_at (const CcMirror *m)
 {
-  return m->heard_at;
+  return m->last_answer_at;
 }
 
-/* How long the table service has not answered, us. */
+/* Returns the time from the last answer of the table service or the followed
+ * peer to NOW, us. */
 gint64
 cc_mirror_age (const CcMirror *m, gint64 now)
 {
-  return now - m->heard_at;
+  return now - m->last_answer_at;
 }
--- a/mirror.h
+++ b/mirror.h
@@ -1,4 +1,5 @@
-/* This process's copy of the rows that it follows. */
+/* A process's local copy of the replicated tables, kept up to date from the
+ * table service or from a peer's copy. */
 #ifndef CC_MIRROR_H
 #define CC_MIRROR_H
 
@@ -7,47 +8,48 @@
 #include "view.h"
 
 typedef struct CcMirror CcMirror;
-/* The rows of table NAME changed. */
+/* Called after rows of table NAME changed; cc_mirror_changed lists them. */
 typedef void (*CcMirrorChanged) (CcTableName name, gpointer data);
-/* Whom to ask. */
+/* Which peer is requested from the CcMirrorPeer callback. */
 typedef enum
 {
-  CC_PEER_ANY,     /* while the table service does not answer */
-  CC_PEER_FOLLOWED /* one whose copy this process goes by; NULL: watch yourself
-                    */
+  CC_PEER_ANY,     /* any peer, polled while the table service is unreachable */
+  CC_PEER_FOLLOWED /* the peer whose copy this process follows; NULL: none, it
+                      watches the table service directly */
 } CcPeerKind;
 
-/* A process's place among those that follow one another. */
+/* A process's position in the tree in which copies are passed on. */
 typedef struct
 {
-  gboolean is_followed; /* others go by its copy */
-  gboolean reads_all;   /* it reads all tables at its start, for the others */
-  guint distance;       /* processes on the rows' way to it */
-  guint fleet;          /* processes of the fleet */
+  gboolean is_followed; /* peers follow its copy */
+  gboolean reads_all;   /* it reads all tables itself when it starts */
+  guint distance;       /* hops from the granter's copy: 0, 1 or 2 */
+  guint fleet;          /* number of processes in the fleet */
 } CcMirrorRole;
 
-/* Versions that tell one copy from another: of each followed table, and of the
- * row of the granter's lease. */
+/* Number of versions that identify the state of a copy: one for each followed
+ * table and one for the row of the granter's lease. */
 #define CC_MIRROR_VERSIONS (CC_TABLE_FOLLOWED + 1)
 
-/* The address of a peer to ask, or NULL; the caller frees it. */
+/* Returns the address of a peer of KIND, or NULL; the caller frees it. */
 typedef char *(*CcMirrorPeer) (CcPeerKind kind, gpointer data);
 
-/* The one at ADDRESS, which was named to be followed, has ANSWERED or not. */
+/* Reports whether the followed peer at ADDRESS ANSWERED the last request. */
 typedef void (*CcMirrorPeerResult) (const char *address, gboolean answered,
                                     gpointer data);
 
-/* What a mirror goes by; the functions get DATA. */
+/* What a mirror is created with; DATA is passed to the callbacks. */
 typedef struct
 {
   CcTable *table;
-  CcHttp *http; /* to peers */
+  CcHttp *http; /* connections to peers */
   CcMirrorChanged changed;
   CcMirrorPeer peer;
   CcMirrorPeerResult peer_result;
   gpointer data;
-  const char *members_from; /* the rows of STATE that tell whom to follow: first
-                               key, and first behind them; NULL: all rows */
+  const char *members_from; /* key range of the STATE rows that determine which
+                             peer to follow: first key, and first key after
+                             the range; NULL: all rows */
   const char *members_to;
 } CcMirrorSetup;
 
@@ -70,7 +72,7 @@
 GBytes *cc_mirror_rows_since (CcMirror *m, const guint64 *since, gint64 held);
 gboolean cc_mirror_has_updates (const CcMirror *m, const guint64 *since);
 
-/* Path at which a process answers its peers with cc_mirror_rows_since. */
+/* HTTP path at which a process serves cc_mirror_rows_since to its peers. */
 #define CC_MIRROR_PATH "/rows"
 
 #endif
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -1,74 +1,80 @@
-/* How a process goes by the copy of another, and what it tells those that go by
- * its own.
+/* Follows the copy of another process, and serves this process's copy to the
+ * processes that follow it.
  *
- * Load pattern: each row that changes costs each process that watches it a
- * call, and calls are dear; a fleet of hundreds would spend thousands on one
- * move of keys.  So one process watches for all, the one that grants keys: it
- * hears from the service all the time anyway, since it renews its lease there.
- * The others follow its copy, or that of another which follows it (members.h),
- * by a question that is answered when there is news.  Answers also tell the
- * version of the lease, so that a lost granter is noticed without a call.
+ * Load pattern: each changed row costs each process that watches it a call, and
+ * calls are expensive: a fleet of hundreds would make thousands for one move of
+ * keys.  So one process watches for the whole fleet, the granter, which is in
+ * touch with the service all the time anyway to renew its lease.  The other
+ * processes follow its copy, or that of a relay which follows it (members.h),
+ * by long polls that are answered on an update.  Answers also carry the version
+ * of the lease, so that a lost granter is detected without a call.
  *
- * Failure: the process that is followed is cut off from the service or dies.
- * Symptom: this entry routes by old rows.  Each answer says how long ago its
- * rows were known to be fresh; who finds that longer than TOO_OLD, or gets no
- * answer, watches by itself for a while, and a watch begins with a question for
- * all that is newer.  That is soon enough for a change of configuration, which
- * has to be in force everywhere within 2 s.
+ * Failure: the followed process is cut off from the service or exits.  Symptom:
+ * this process routes by stale rows.  Each answer says how long ago its rows
+ * were known to be fresh; a follower that finds them older than MAX_AGE, or
+ * gets no answer, watches the service directly for a while, beginning with a
+ * query for all newer rows.  That is soon enough for a change of configuration,
+ * which must be in force everywhere within 2 s.
  *
- * Failure: the service turns this machine away while it serves others.  So
- * while a watch fails, the same rows are asked of a peer, another each time.
- * Rows carry their versions, so it doesn't matter whose word comes first
+ * Failure: the service rejects this machine while it serves others.  So while a
+ * watch fails, the same rows are requested from a peer, a random one each time.
+ * Rows carry versions, so the order in which updates arrive does not matter
  * (view.h). */
 #include "clock.h"
 #include "event_log.h"
 #include "mirror_state.h"
 #include "row_codec.h"
 
-#define PEER_PERIOD (400 * CC_MS) /* between questions to peers */
-#define PEER_WITHIN (300 * CC_MS) /* a peer in reach answers in 10 ms */
-/* Rows come with an age of at most WATCH_FRESH from the granter, and hardly
- * more from a relay, which hands on at once what it hears with each renewal of
- * the lease.  A relay finds its source too old before its followers do, and has
- * fresh rows again before they leave it. */
-#define TOO_OLD (1100 * CC_MS)
-#define TOO_OLD_RELAYED (1600 * CC_MS)
-/* A question waits so long for news.  The granter renews its lease more often,
- * so that most are answered by that. */
+#define PEER_POLL_PERIOD (400 * CC_MS) /* between polls of peers */
+#define PEER_TIMEOUT (300 * CC_MS)     /* a reachable peer answers in 10 ms */
+/* Oldest acceptable copy of the granter, and of a relay.  Rows have an age of
+ * at most FRESHNESS_WAIT at the granter, and hardly more at a relay, which
+ * passes on at once what it receives with each renewal of the lease.  A relay
+ * finds its source stale before its followers find the relay stale, and has
+ * fresh rows again before they abandon it. */
+#define MAX_AGE (1100 * CC_MS)
+#define MAX_AGE_RELAYED (1600 * CC_MS)
+/* Longest wait of a request for an update.  The granter renews its lease more
+ * often, so that most requests are answered by a renewal. */
 #define FOLLOW_WAIT (900 * CC_MS)
-#define FOLLOW_WITHIN (250 * CC_MS) /* beyond that; a peer answers in 10 ms */
-/* An answer that goes on arriving is waited for, but not for so long that a
- * relay whose link is slow leaves its followers without news. */
-#define FOLLOW_STALL (500 * CC_MS)
-#define FOLLOW_EXTEND (700 * CC_MS)
-/* ... and less if this copy would be too old by then; at least this, or a peer
- * whose copy is old would be asked without a pause. */
-#define FOLLOW_WAIT_LEAST (200 * CC_MS)
-/* After the one that was followed failed: as long as a cut lasts usually, or
- * until it answers again, for which it is asked this often. */
-#define SELF_WATCH (5 * CC_SECOND)
-#define LOST_PERIOD (1 * CC_SECOND)
-/* Where relays are followed: how often the service is asked for all while they
- * all have old copies, and the pause after one that did not answer. */
+#define FOLLOW_TIMEOUT                                                         \
+  (250 * CC_MS) /* beyond the wait; a peer answers in 10 ms */
+/* The timeout is extended while an answer keeps arriving, up to a limit, so
+ * that a relay with a slow link does not leave its followers without updates.
+ */
+#define FOLLOW_STALL_TIMEOUT (500 * CC_MS)
+#define FOLLOW_EXTEND_MAX (700 * CC_MS)
+/* The wait is shorter if this copy would be stale before its end, but not below
+ * this: otherwise a peer with a stale copy would be polled in a busy loop. */
+#define FOLLOW_WAIT_MIN (200 * CC_MS)
+/* After a failure of the followed peer the service is watched directly for this
+ * time, which covers a usual network partition, or until the peer answers
+ * again; it is polled at LOST_RETRY_PERIOD. */
+#define DIRECT_WATCH (5 * CC_SECOND)
+#define LOST_RETRY_PERIOD (1 * CC_SECOND)
+/* For processes that follow relays: how often the service is queried for all
+ * tables while every relay has a stale copy, and the pause after a relay that
+ * did not answer. */
 #define REFRESH_PERIOD (800 * CC_MS)
-#define FOLLOW_PAUSE (60 * CC_MS)
-
-/* What a peer sends: for how long, in us, it held the question; how long ago
- * its rows were fresh and it last had an outage of the service (-1: never); the
- * version of the lease's row that it knows, and since how long; the newest mark
- * of its version clock, with its age; for each table, since and up to which
- * version, and the rows. */
+#define FOLLOW_RETRY_PAUSE (60 * CC_MS)
+
+/* A peer's answer, with all times in us: how long it held the request; the age
+ * of its rows; the time since its last outage of the service (-1: none); the
+ * newest version of the lease's row that it knows, and the time since that was
+ * first seen; the newest mark of its version clock, and its age; and for each
+ * table, the version after which and the version up to which the rows are
+ * complete, and the rows. */
 #define PEER_TABLES "a(tt" CC_ROWS_TYPE ")"
 #define PEER_TYPE "(xxxtxtx" PEER_TABLES ")"
 
-/* The rows that were written after SINCE[table], for a peer whose question was
- * HELD for so long, us, as it reads them.
+/* Encodes the rows that were written after SINCE[table] for a peer whose
+ * request was HELD for that long, us.
  *
- * Failure: a row is deleted, this process reads the table whole after that, and
- * a peer with an older copy begins to follow it.  Symptom: no row tells that
- * peer of the deletion, and it sends requests to an upstream that is gone, for
- * ever.  So who asks for more than this process knows the history of gets all
- * rows, and drops what they lack. */
+ * Failure: a row is deleted, this process reads the whole table after that, and
+ * a peer with an older copy begins to follow it.  Symptom: no row reports the
+ * deletion to that peer, and it sends requests to an upstream that no longer
+ * exists, for good.  So a peer whose version is older than the known history
+ * gets the whole table, and deletes what that lacks. */
 GBytes *
 cc_mirror_rows_since (CcMirror *m, const guint64 *since, gint64 held)
 {
@@ -90,12 +96,12 @@
     }
   all = g_variant_ref_sink (g_variant_new (
       "(xxxtxtx@" PEER_TABLES ")", held, now - m->fresh_at,
-      outage != 0 ? now - outage : -1, m->lease, now - m->lease_at,
+      outage != 0 ? now - outage : -1, m->lease, now - m->lease_seen_at,
       mark.version, now - mark.at, g_variant_builder_end (&b)));
   return g_variant_get_data_as_bytes (all);
 }
 
-/* Whether this copy has anything newer than SINCE. */
+/* Returns TRUE if this copy has anything newer than SINCE. */
 gboolean
 cc_mirror_has_updates (const CcMirror *m, const guint64 *since)
 {
@@ -114,10 +120,10 @@
 } PeerTable;
 
 static void
-take_peer_table (CcMirrorTable *t, const PeerTable *p)
+apply_peer_table (CcMirrorTable *t, const PeerTable *p)
 {
   gboolean is_whole = p->since == 0 && p->upto > 0;
-  gboolean changed = is_whole ? cc_mirror_put_whole (t, p->rows, p->upto)
+  gboolean changed = is_whole ? cc_mirror_put_snapshot (t, p->rows, p->upto)
                               : cc_mirror_put_rows (t, p->rows);
 
   if (t->complete)
@@ -133,8 +139,8 @@
     g_clear_pointer (&all[i].rows, g_variant_unref);
 }
 
-/* Reads TABLES into ALL, which is empty.  FALSE, with nothing held, if any row
- * of them is damaged. */
+/* Decodes TABLES into ALL, which is empty.  Returns FALSE, with nothing
+ * allocated, if any of their rows is damaged. */
 static gboolean
 read_peer_tables (GVariant *tables, PeerTable *all)
 {
@@ -158,58 +164,60 @@
   return TRUE;
 }
 
-/* A peer's rows were fresh AGE us before its answer, which came at NOW and was
- * WAY us on its way at most, and it last had an outage of the service OUTAGE us
- * ago, -1: never.
+/* Records that a peer's rows were fresh AGE us before it gave its answer, which
+ * arrived at NOW after at most TRANSIT us, and that its last outage of the
+ * service was OUTAGE us ago (-1: none).
  *
- * Failure: this process alone loses its connection to the service, or hears
- * late that an outage is over.  Symptom: it takes upstreams that leave
- * meanwhile for ones that lapsed in the outage, and sends to them after they
- * have ended.  A peer that heard from the service after this process's own
- * outage knows when its last outage was. */
+ * Failure: this process alone loses its connection to the service, or learns
+ * late that an outage is over.  Symptom: it takes upstreams that left meanwhile
+ * for ones whose rows expired in the outage, and sends to them after they have
+ * exited.  A peer that received an answer of the service after this process's
+ * own outage knows when the service's last outage was. */
 static void
-note_peer (CcMirror *m, gint64 age, gint64 way, gint64 outage, gint64 now)
+record_peer_freshness (CcMirror *m, gint64 age, gint64 transit, gint64 outage,
+                       gint64 now)
 {
-  if (now - way - age <= m->others_fresh)
+  if (now - transit - age <= m->peers_fresh_at)
     return;
-  m->others_fresh = now - way - age;
-  m->others_outage = outage < 0 ? 0 : now - outage;
-  cc_mirror_service_well (m, m->others_fresh, now - age);
+  m->peers_fresh_at = now - transit - age;
+  m->peers_outage_at = outage < 0 ? 0 : now - outage;
+  cc_mirror_service_answered (m, m->peers_fresh_at, now - age);
 }
 
-/* How long ago a peer, which was ASKED and HELD the question for so long, gave
- * its answer at most, us.
+/* Returns the longest time that a peer's answer can have been in transit, us:
+ * it arrived at NOW, the request was sent at SENT_AT, and the peer held it for
+ * HELD us.
  *
- * Failure: the answer is a while on its way, since a lost segment is sent again
- * or the peer's processor is short, and the ages in it are counted from its
- * arrival.  Symptom: an upstream is sent to after it has ended, since its word
- * that it leaves is taken for younger than it is; and an old copy passes for a
- * new one.  What was asked after ASKED and held for HELD was not answered
- * before both had passed, and that compares no clocks of two machines. */
+ * Failure: the answer is delayed, because a lost segment is sent again or the
+ * peer is short of processor time, and the ages in it are counted from its
+ * arrival.  Symptom: requests go to an upstream that has exited, since its
+ * notice that it leaves is taken for younger than it is; and a stale copy
+ * counts as fresh.  The answer cannot have been given before SENT_AT + HELD,
+ * and this bound needs no comparison of clocks of two machines. */
 static gint64
-longest_on_its_way (gint64 asked, gint64 held, gint64 now)
+max_transit_time (gint64 sent_at, gint64 held, gint64 now)
 {
-  return now - asked - CLAMP (held, 0, now - asked);
+  return now - sent_at - CLAMP (held, 0, now - sent_at);
 }
 
-/* Takes the rows in R, the answer to a question that was ASKED then, which came
- * at NOW, us.  Returns how long before NOW, in us, they were fresh at most, or
- * -1 if there is nothing to take; and in *OUTAGE how long before the peer had
- * an outage of the service, -1: never.
+/* Applies R, a peer's answer that arrived at NOW to a request sent at SENT_AT,
+ * us.  Returns the greatest possible age of its rows at NOW, us, or -1 if R is
+ * no valid answer; and in *OUTAGE the time since the peer's last outage of the
+ * service, us, -1 if it had none.
  *
- * The times of the lease and of outages count from the answer's arrival: the
- * later a lease is taken to have been renewed, the later it is taken over, and
- * the later an outage, the longer deletions are doubted.  NOW is read before
- * the rows are taken: what they change may occupy this process for a while, and
- * the copy would pass for newer than it is. */
+ * The times of the lease and of outages count from the arrival, which is the
+ * safe side: the later a lease is taken to have been renewed, the later it is
+ * taken over, and the later an outage, the longer deletions are treated as
+ * uncertain.  The caller reads NOW before the rows are applied: that may take a
+ * while, and the copy would count as fresher than it is. */
 static gint64
-take_peer_answer (CcMirror *m, const CcHttpResult *r, gint64 asked, gint64 now,
-                  gint64 *outage)
+apply_peer_answer (CcMirror *m, const CcHttpResult *r, gint64 sent_at,
+                   gint64 now, gint64 *outage)
 {
   g_autoptr (GVariant) all = NULL;
   g_autoptr (GVariant) tables = NULL;
   PeerTable read[CC_TABLE_FOLLOWED] = { 0 };
-  gint64 held, age, lease_age, mark_age, way;
+  gint64 held, age, lease_age, mark_age, transit;
   guint64 lease, mark;
 
   if (r->end != CC_HTTP_ANSWERED || r->status != 200)
@@ -224,15 +232,15 @@
       return -1;
     }
   age = MAX (age, 0);
-  way = longest_on_its_way (asked, held, now);
+  transit = max_transit_time (sent_at, held, now);
   if (mark > 0)
-    cc_version_clock_note (&m->clock, mark, now - way - mark_age);
+    cc_version_clock_note (&m->clock, mark, now - transit - mark_age);
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
-    take_peer_table (&m->tables[i], &read[i]);
+    apply_peer_table (&m->tables[i], &read[i]);
   peer_tables_clear (read);
   cc_mirror_lease_renewed (m, lease, now - MAX (lease_age, 0));
-  note_peer (m, age, way, *outage, now);
-  return age + way;
+  record_peer_freshness (m, age, transit, *outage, now);
+  return age + transit;
 }
 
 static void
@@ -241,14 +249,14 @@
   CcMirror *m = data;
   gint64 outage;
 
-  m->asking = FALSE;
-  take_peer_answer (m, r, m->asked_any, cc_clock_now (), &outage);
+  m->polling = FALSE;
+  apply_peer_answer (m, r, m->polled_at, cc_clock_now (), &outage);
 }
 
-/* Asks the peer at ADDRESS for what is newer than this copy, for which it may
- * wait WAIT us.  Returns FALSE if it can't be asked. */
+/* Requests from the peer at ADDRESS whatever is newer than this copy; the peer
+ * may hold the request for WAIT us.  Returns FALSE if it can't be sent. */
 static gboolean
-ask (CcMirror *m, const char *address, gint64 wait, CcHttpDone done)
+send_request (CcMirror *m, const char *address, gint64 wait, CcHttpDone done)
 {
   g_autofree char *head = g_strdup_printf (
       "GET " CC_MIRROR_PATH "?since=%" G_GUINT64_FORMAT ",%" G_GUINT64_FORMAT
@@ -258,56 +266,58 @@
       m->lease, wait / CC_MS, address);
   CcHttpOrder o = { .address = address,
                     .head = head,
-                    .connect_within = PEER_WITHIN,
+                    .connect_within = PEER_TIMEOUT,
                     .answer_within =
-                        wait + (wait > 0 ? FOLLOW_WITHIN : PEER_WITHIN),
-                    .stall_within = FOLLOW_STALL,
-                    .extend_most = FOLLOW_EXTEND,
+                        wait + (wait > 0 ? FOLLOW_TIMEOUT : PEER_TIMEOUT),
+                    .stall_within = FOLLOW_STALL_TIMEOUT,
+                    .extend_most = FOLLOW_EXTEND_MAX,
                     .idle_max = 2 * CC_SECOND };
 
   return cc_http_send (m->setup.http, &o, done, m) != NULL;
 }
 
-/* Asks the service for the tables that it is not asked for, to be answered at
- * once. */
+/* Queries the service, for an immediate answer, about each table that has no
+ * pending call and is not expected from a peer. */
 void
-cc_mirror_ask_all (CcMirror *m)
+cc_mirror_query_all (CcMirror *m)
 {
   m->refreshing = FALSE;
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     if (!m->tables[i].running && !cc_mirror_awaits_peer (&m->tables[i]))
       {
-        m->tables[i].unproven = TRUE;
-        cc_mirror_ask_service (&m->tables[i]);
+        m->tables[i].unconfirmed = TRUE;
+        cc_mirror_query_service (&m->tables[i]);
       }
 }
 
-/* Load pattern: the service is down for all, every copy grows old, and hundreds
- * of processes ask for three tables each.  If the one that is followed has an
- * outage too, those that nobody follows ask for the configuration, and for the
- * others once that was answered. */
+/* Queries the service after the followed peers had only stale copies.
+ *
+ * Load pattern: the service is down for the whole fleet, every copy becomes
+ * stale, and hundreds of processes query three tables each.  If the followed
+ * peer reports an outage too, the processes that nobody follows query the
+ * configuration first, and the other tables once that is answered. */
 static void
 refresh (CcMirror *m)
 {
   if (m->role.distance < 2 || !m->shared_outage)
     {
-      cc_mirror_ask_all (m);
+      cc_mirror_query_all (m);
       return;
     }
   m->refreshing = TRUE;
   if (m->tables[CC_TABLE_CONFIG].running)
     return;
-  m->tables[CC_TABLE_CONFIG].unproven = TRUE;
-  cc_mirror_ask_service (&m->tables[CC_TABLE_CONFIG]);
+  m->tables[CC_TABLE_CONFIG].unconfirmed = TRUE;
+  cc_mirror_query_service (&m->tables[CC_TABLE_CONFIG]);
 }
 
 static void
-on_follow_again (gpointer data)
+on_follow_timer (gpointer data)
 {
   CcMirror *m = data;
 
   if (!cc_mirror_follow (m))
-    cc_mirror_ask_all (m);
+    cc_mirror_query_all (m);
 }
 
 static gboolean
@@ -319,66 +329,68 @@
   return FALSE;
 }
 
-/* How old, in us, the copy of the one that is followed may be. */
+/* Returns the greatest acceptable age of the followed peer's copy, us. */
 static gint64
-too_old (const CcMirror *m)
+max_age (const CcMirror *m)
 {
-  return m->role.distance < 2 ? TOO_OLD : TOO_OLD_RELAYED;
+  return m->role.distance < 2 ? MAX_AGE : MAX_AGE_RELAYED;
 }
 
-/* The one that is followed did not answer, or has an old copy; AGE is -1 or
- * that copy's, OUTAGE how long ago its last outage was, -1: none.  It may have
- * started just now, like this process.
+/* Handles a followed peer that did not answer (AGE is -1) or whose copy is
+ * stale (AGE us old).  OUTAGE is the time since that peer's last outage of the
+ * service, us, -1 if it had none.  The peer may have just started, like this
+ * process.
  *
- * One that others follow, or one of a small fleet, watches by itself for a
- * while if it got no answer.  In a large fleet that would cost ten calls a
- * second for each process, so there the others go on with another relay, and
- * ask the service once if their copy is old.  If even a relay's copy is, the
- * service may be away, and the first answer about the configuration tells.
+ * After no answer, a process that follows the granter directly watches the
+ * service for a while.  In a large fleet that would cost ten calls a second for
+ * each process, so there the followers of relays try another relay, and query
+ * the service once if their own copy is becoming stale.  If even a relay's copy
+ * is stale, the service may be unreachable; the first answer about the
+ * configuration shows whether it is.
  *
- * Failure: the service swallows one watch of the granter, whose copy grows old
- * for a moment.  Symptom: all relays watch by themselves, and each change of a
- * range costs each of them a call.  So who gets an old copy asks the service
- * once too, and goes on to follow. */
+ * Failure: the service drops one watch of the granter, whose copy is stale for
+ * a moment.  Symptom: all relays watch the service directly, and each change of
+ * a range costs each of them a call.  So a process that gets a stale copy also
+ * queries the service only once and continues to follow. */
 static void
-lose_followed (CcMirror *m, gint64 age, gint64 outage)
+handle_lost_source (CcMirror *m, gint64 age, gint64 outage)
 {
   gint64 now = cc_clock_now ();
 
   m->shared_outage = outage >= 0 && outage <= age;
-  /* ... before another could be given up as well */
-  gboolean gets_old =
-      now - m->fresh_at + FOLLOW_WAIT_LEAST + FOLLOW_WITHIN > too_old (m);
+  /* Whether the copy would be stale before another request timed out. */
+  gboolean is_getting_old =
+      now - m->fresh_at + FOLLOW_WAIT_MIN + FOLLOW_TIMEOUT > max_age (m);
 
   if (awaits_rows (m))
     {
-      cc_timer_start (&m->again, FOLLOW_PAUSE, on_follow_again, m);
+      cc_timer_start (&m->follow_timer, FOLLOW_RETRY_PAUSE, on_follow_timer, m);
       return;
     }
   if (age < 0 && m->role.distance < 2)
     {
-      m->self_until = now + SELF_WATCH;
+      m->direct_until = now + DIRECT_WATCH;
       g_free (m->lost_address);
       m->lost_address = g_strdup (m->followed);
-      cc_mirror_ask_all (m);
-      cc_timer_start (&m->again, LOST_PERIOD, on_follow_again, m);
+      cc_mirror_query_all (m);
+      cc_timer_start (&m->follow_timer, LOST_RETRY_PERIOD, on_follow_timer, m);
       return;
     }
-  if (gets_old && now >= m->refresh_at)
+  if (is_getting_old && now >= m->next_refresh)
     {
-      m->refresh_at = now + REFRESH_PERIOD;
+      m->next_refresh = now + REFRESH_PERIOD;
       refresh (m);
     }
   if (age < 0)
-    cc_timer_start (&m->again, FOLLOW_PAUSE, on_follow_again, m);
+    cc_timer_start (&m->follow_timer, FOLLOW_RETRY_PAUSE, on_follow_timer, m);
   else
-    on_follow_again (m);
+    on_follow_timer (m);
 }
 
-/* One that nobody follows hears from the service through others again: it has
- * no need to go on asking. */
+/* Cancels the retries to the service of a process that nobody follows, once it
+ * receives fresh rows through a peer again. */
 static void
-leave_to_followed (CcMirror *m)
+stop_own_queries (CcMirror *m)
 {
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     {
@@ -398,24 +410,25 @@
   CcMirror *m = data;
   gint64 outage = -1;
   gint64 now = cc_clock_now ();
-  gint64 age = take_peer_answer (m, r, m->asked_followed, now, &outage);
+  gint64 age = apply_peer_answer (m, r, m->follow_sent_at, now, &outage);
 
   m->following = FALSE;
   m->setup.peer_result (m->followed, age >= 0, m->setup.data);
-  if (age >= 0 && age <= too_old (m))
+  if (age >= 0 && age <= max_age (m))
     {
       m->lost = m->shared_outage = FALSE;
-      m->self_until = 0;
+      m->direct_until = 0;
       if (m->role.distance == 2)
-        leave_to_followed (m);
-      /* The outages of one with an old copy are its own: it may be cut off
-       * alone, and who doubts deletions for as long as that one does goes on
-       * sending to servers that have left. */
+        stop_own_queries (m);
+      /* Only outages of a peer with a fresh copy count.  A peer with a stale
+       * copy may be cut off alone, and a follower that adopted its outage would
+       * treat deletions as uncertain and go on sending to servers that have
+       * left. */
       if (outage >= 0)
         m->followed_outage = MAX (m->followed_outage, now - outage);
-      m->heard_at = now;
+      m->last_answer_at = now;
       m->fresh_at = MAX (m->fresh_at, now - age);
-      on_follow_again (m);
+      on_follow_timer (m);
       return;
     }
   if (!m->lost)
@@ -423,21 +436,21 @@
               cc_event_int (age / CC_MS), "received_bytes",
               cc_event_int ((gint64) r->received), NULL);
   m->lost = TRUE;
-  lose_followed (m, age, outage);
+  handle_lost_source (m, age, outage);
 }
 
-/* How long the one that is followed may wait for news, so that this process
- * watches by itself as soon as its copy is too old if no answer comes. */
+/* Returns how long the followed peer may hold a request, us, such that the
+ * request times out when this copy becomes stale. */
 static gint64
 follow_wait (const CcMirror *m)
 {
-  gint64 left = too_old (m) - (cc_clock_now () - m->fresh_at) - FOLLOW_WITHIN;
+  gint64 left = max_age (m) - (cc_clock_now () - m->fresh_at) - FOLLOW_TIMEOUT;
 
-  return CLAMP (left, FOLLOW_WAIT_LEAST, FOLLOW_WAIT);
+  return CLAMP (left, FOLLOW_WAIT_MIN, FOLLOW_WAIT);
 }
 
-/* Asks the one that is followed for news, unless it is being asked.  FALSE:
- * there is none to follow. */
+/* Requests updates from the peer to follow, unless a request is pending.
+ * Returns FALSE if there is no such peer. */
 gboolean
 cc_mirror_follow (CcMirror *m)
 {
@@ -445,32 +458,33 @@
     return TRUE;
   g_free (m->followed);
   m->followed = m->setup.peer (CC_PEER_FOLLOWED, m->setup.data);
-  m->asked_followed = cc_clock_now ();
-  m->following = m->followed != NULL &&
-                 ask (m, m->followed, follow_wait (m), on_followed_answer);
+  m->follow_sent_at = cc_clock_now ();
+  m->following =
+      m->followed != NULL &&
+      send_request (m, m->followed, follow_wait (m), on_followed_answer);
   return m->following;
 }
 
 static void
-on_peer_time (gpointer data)
+on_poll_timer (gpointer data)
 {
   CcMirror *m = data;
   g_autofree char *address = NULL;
 
-  if (m->asks.place != NULL || !cc_mirror_is_cut_off (m))
+  if (m->poll_timer.place != NULL || !cc_mirror_is_cut_off (m))
     return;
-  cc_timer_start (&m->asks, PEER_PERIOD, on_peer_time, m);
-  if (m->asking)
+  cc_timer_start (&m->poll_timer, PEER_POLL_PERIOD, on_poll_timer, m);
+  if (m->polling)
     return;
   address = m->setup.peer (CC_PEER_ANY, m->setup.data);
-  m->asked_any = cc_clock_now ();
-  m->asking = address != NULL && ask (m, address, 0, on_peer_answer);
+  m->polled_at = cc_clock_now ();
+  m->polling = address != NULL && send_request (m, address, 0, on_peer_answer);
 }
 
-/* The service does not answer this process: asks peers for what is new until
- * that is over. */
+/* The service is unreachable for this process: polls peers until it answers
+ * again. */
 void
-cc_mirror_ask_anyone (CcMirror *m)
+cc_mirror_poll_peers (CcMirror *m)
 {
-  on_peer_time (m);
+  on_poll_timer (m);
 }
--- a/mirror_state.h
+++ b/mirror_state.h
@@ -1,4 +1,5 @@
-/* The state of a copy, for mirror.c and mirror_peers.c only. */
+/* Internal state of CcMirror, shared by mirror.c and mirror_peers.c only.
+ * Times are in us on the local monotonic clock. */
 #ifndef CC_MIRROR_STATE_H
 #define CC_MIRROR_STATE_H
 
@@ -11,21 +12,22 @@
   CcMirror *mirror;
   CcTableName name;
   CcView view;
-  GPtrArray *changed;   /* of CcRow in VIEW, not told of yet */
-  gboolean complete;    /* it was read whole once, here or by a peer */
-  guint64 history_from; /* deletions after this version are known */
-  gboolean unavailable; /* the last call failed */
-  gint64 outage_at;     /* the service was last silent then at the latest, us */
-  gint64 failed_asked;  /* when the call that failed last was made, us */
-  gboolean relieved;    /* it has answered somebody since */
-  gint64 outage_from;   /* when the present outage began, us */
-  gint64 pause;         /* after the next failure, us */
-  gboolean running;     /* it is read or watched at the service */
-  guint calls;          /* at the service; only the last one's answer counts */
-  gint64 asked;         /* when that was made, us */
-  gint64 answered;      /* the last answer was given then at the earliest, us */
-  gint64 fresh_at;      /* the service told all its rows then or later, us */
-  gboolean unproven;    /* no answer since this process began to ask itself */
+  GPtrArray *changed; /* of CcRow in VIEW, not reported to the owner yet */
+  gboolean complete; /* VIEW has held the whole table, read here or by a peer */
+  guint64 history_from;  /* all deletions after this version are in VIEW */
+  gboolean unavailable;  /* the last call to the service failed */
+  gint64 outage_at;      /* latest time at which the last outage ended */
+  gint64 failed_call_at; /* when the last failed call was sent */
+  gboolean recovered;    /* the service has answered anyone since */
+  gint64 outage_from;    /* when the current outage began */
+  gint64 pause;          /* retry pause after the next failure, us */
+  gboolean running;      /* a call to the service is pending */
+  guint calls;    /* calls to the service; only the last one's answer is used */
+  gint64 sent_at; /* when the last call was sent */
+  gint64 answered;      /* earliest time at which the last answer was given */
+  gint64 fresh_at;      /* VIEW matched the service at this time or later */
+  gboolean unconfirmed; /* no answer yet since it began to query the service
+                           directly */
   CcTimer timer;
 } CcMirrorTable;
 
@@ -33,49 +35,52 @@
 {
   CcMirrorSetup setup;
   CcMirrorTable tables[CC_TABLE_FOLLOWED];
-  gboolean asking;      /* a peer */
-  gint64 asked_any;     /* ... since then, us */
-  CcTimer asks;         /* until a peer is asked next */
-  CcVersionClock clock; /* of the service's versions */
-  gint64 heard_at;      /* the table service last answered, us */
-  gint64 answered_at;   /* ... this process itself, us */
-  gint64 fresh_at;      /* all rows but ranges and members were known to be the
-                           newest, us */
+  gboolean polling;      /* a request to any peer is pending */
+  gint64 polled_at;      /* when that request was sent */
+  CcTimer poll_timer;    /* until the next poll of a peer */
+  CcVersionClock clock;  /* relates versions of the service to times */
+  gint64 last_answer_at; /* last answer of the service or the followed peer */
+  gint64 answered_at;    /* last answer of the service to this process */
+  gint64 fresh_at;       /* configuration and upstreams matched the service at
+                            this time or later */
   gint64 started_at;
-  gboolean knows_members; /* the rows were read that tell whom to follow */
-  gint64 start_until;     /* rows that it lacks are expected of a peer, us */
-  CcTimer start;          /* until STATE is read, then until START_UNTIL */
-  guint64 lease;          /* newest known version of the lease's row */
-  gint64 lease_at;        /* when anybody on its way here first knew it, us */
+  gboolean knows_members; /* the rows that name the peer to follow are read */
+  gint64 start_until;   /* until then missing tables are expected from a peer */
+  CcTimer start;        /* until the members are read, then until START_UNTIL */
+  guint64 lease;        /* newest known version of the lease's row */
+  gint64 lease_seen_at; /* when it was first seen, by this process or an earlier
+                           hop */
   CcMirrorRole role;
-  gboolean following;     /* the one that is followed is being asked */
-  gint64 asked_followed;  /* ... since then, us */
-  char *followed;         /* address of the one that was asked last */
-  gboolean lost;          /* it did not answer, or had an old copy, at last */
-  char *lost_address;     /* ... and this process watches by itself for that */
-  gint64 self_until;      /* watches by itself until then, us */
-  gboolean shared_outage; /* it tells of an outage of its own */
-  gint64 refresh_at;      /* the service is not asked for all before, us */
-  gboolean refreshing;    /* ... and is asked for the configuration first */
-  CcTimer again;          /* until somebody is followed again */
-  gint64 followed_outage; /* of the one that is followed, us; 0: never */
-  gint64 others_fresh;    /* rows of a peer were fresh then, us */
-  gint64 others_outage;   /* ... which last had an outage then, us; 0: never */
+  gboolean following;     /* a request to the followed peer is pending */
+  gint64 follow_sent_at;  /* when that request was sent */
+  char *followed;         /* address of the peer that was followed last */
+  gboolean lost;          /* its last request failed or gave a stale copy */
+  char *lost_address;     /* lost peer, in place of which the service is watched
+                           directly */
+  gint64 direct_until;    /* the service is watched directly until then */
+  gboolean shared_outage; /* the followed peer reports an outage of its own */
+  gint64 next_refresh;    /* earliest time of the next query for all tables */
+  gboolean refreshing;    /* ... which waits for the configuration's answer */
+  CcTimer follow_timer;   /* until the next attempt to follow a peer */
+  gint64 followed_outage; /* last outage of the followed peer; 0: none */
+  gint64 peers_fresh_at;  /* newest time at which a peer's copy was fresh */
+  gint64 peers_outage_at; /* last outage of that peer; 0: none */
 };
 
-/* What mirror_peers.c uses of mirror.c. */
-void cc_mirror_ask_service (CcMirrorTable *t);
+/* Defined in mirror.c. */
+void cc_mirror_query_service (CcMirrorTable *t);
 gboolean cc_mirror_put_rows (CcMirrorTable *t, GVariant *rows);
-gboolean cc_mirror_put_whole (CcMirrorTable *t, GVariant *rows, guint64 upto);
+gboolean cc_mirror_put_snapshot (CcMirrorTable *t, GVariant *rows,
+                                 guint64 upto);
 void cc_mirror_notify (CcMirrorTable *t);
-void cc_mirror_service_well (CcMirror *m, gint64 earliest, gint64 latest);
+void cc_mirror_service_answered (CcMirror *m, gint64 earliest, gint64 latest);
 gboolean cc_mirror_is_cut_off (const CcMirror *m);
 gboolean cc_mirror_awaits_peer (const CcMirrorTable *t);
 gint64 cc_mirror_last_outage (const CcMirror *m);
 
-/* What mirror.c uses of mirror_peers.c. */
+/* Defined in mirror_peers.c. */
 gboolean cc_mirror_follow (CcMirror *m);
-void cc_mirror_ask_anyone (CcMirror *m);
-void cc_mirror_ask_all (CcMirror *m);
+void cc_mirror_poll_peers (CcMirror *m);
+void cc_mirror_query_all (CcMirror *m);
 
 #endif
