--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -35,20 +35,20 @@
   world_write_row (CC_TABLE_STATE, "granter", value);
 }
 
-static Question *
-question (Kind kind, Node *by, gint64 wait)
+static Request *
+request_new (Kind kind, Node *by, gint64 wait)
 {
-  Question *q = g_new0 (Question, 1);
+  Request *q = g_new0 (Request, 1);
   gint64 now = cc_clock_now ();
 
   q->kind = kind;
   q->by = by;
-  q->asked = now;
-  q->at = now + MAX (wait, kind == ASK ? PEER_TAKES : CALL_TAKES);
+  q->sent_at = now;
+  q->at = now + MAX (wait, kind == PEER_REQUEST ? PEER_TAKES : CALL_TAKES);
   q->given_up = now + wait + (kind == WATCH ? WATCH_WITHIN : CALL_WITHIN);
-  q->swallowed = kind != ASK && by->service == SILENT;
-  g_ptr_array_add (world.questions, q);
-  by->calls += kind != ASK;
+  q->dropped = kind != PEER_REQUEST && by->service == SILENT;
+  g_ptr_array_add (world.requests, q);
+  by->calls += kind != PEER_REQUEST;
   return q;
 }
 
@@ -56,7 +56,7 @@
 cc_table_read (CcTable *t, CcTableName name, const char *key, CcTableRows done,
                gpointer data)
 {
-  Question *q = question (READ, (Node *) t, 0);
+  Request *q = request_new (READ, (Node *) t, 0);
 
   (void) key;
   q->name = name;
@@ -69,7 +69,7 @@
                     const char *to, CcTableRows done, gpointer data)
 {
   cc_table_read (t, name, NULL, done, data);
-  ((Question *) world.questions->pdata[world.questions->len - 1])->to = to;
+  ((Request *) world.requests->pdata[world.requests->len - 1])->to = to;
   (void) from;
 }
 
@@ -99,7 +99,7 @@
 cc_table_watch (CcTable *t, CcTableName name, guint64 after, gint64 wait,
                 CcTableRows done, gpointer data)
 {
-  Question *q = question (WATCH, (Node *) t, wait);
+  Request *q = request_new (WATCH, (Node *) t, wait);
 
   q->name = name;
   q->after = after;
@@ -119,20 +119,20 @@
 {
   const char *since = strstr (o->head, "since=") + strlen ("since=");
   const char *wait = strstr (o->head, "wait=") + strlen ("wait=");
-  Question *q =
-      question (ASK, (Node *) h, g_ascii_strtoll (wait, NULL, 10) * CC_MS);
+  Request *q = request_new (PEER_REQUEST, (Node *) h,
+                            g_ascii_strtoll (wait, NULL, 10) * CC_MS);
 
   for (guint i = 0; i < CC_MIRROR_VERSIONS; i++)
     q->since[i] = g_ascii_strtoull (since, (char **) &since, 10), since++;
   q->peer = world_node_at (o->address);
-  g_hash_table_add (q->peer->askers, q->by);
+  g_hash_table_add (q->peer->clients, q->by);
   q->given_up = cc_clock_now () + o->answer_within;
   q->done = done;
   q->data = data;
   return (CcHttpCall *) q;
 }
 
-/* ---- questions are answered ---- */
+/* ---- answers ---- */
 
 static gboolean
 is_frozen (const Node *n)
@@ -141,33 +141,33 @@
 }
 
 static gboolean
-is_reached (const Question *q)
+is_reached (const Request *q)
 {
   guint peer = (guint) (q->peer - world.nodes);
 
   return !q->by->cut[peer] && !is_frozen (q->peer) && q->peer != q->by;
 }
 
-/* Whether Q watches from a version on whose successors are forgotten. */
+/* Returns TRUE if Q watches from a version whose successors are discarded. */
 static gboolean
-is_forgotten (const Question *q)
+is_forgotten (const Request *q)
 {
   return q->kind == WATCH && q->after < world.forgotten;
 }
 
 static gboolean
-has_news (const Question *q)
+has_updates (const Request *q)
 {
-  if (q->kind == ASK)
+  if (q->kind == PEER_REQUEST)
     return cc_mirror_has_updates (q->peer->mirror, q->since);
   return is_forgotten (q) ||
          (q->kind == WATCH && world.tables[q->name].upto > q->after);
 }
 
-/* The rows that Q reads.  A page holds PAGE of them, and each further one costs
- * a call. */
+/* Returns the rows that Q reads.  A page holds PAGE of them, and each further
+ * page costs a call. */
 static GVariant *
-read_rows (const Question *q)
+read_rows (const Request *q)
 {
   g_autoptr (GVariant) all =
       g_variant_ref_sink (cc_view_since (&world.tables[q->name], 0));
@@ -184,7 +184,7 @@
     {
       g_variant_get (row, "(&st&s)", &key, &version, &value);
       if ((q->to != NULL && strcmp (key, q->to) >= 0) ||
-          (world.answers >= FORGETS && value[0] == '\0'))
+          (world.answers >= HISTORY_LOST && value[0] == '\0'))
         continue;
       rows++;
       g_variant_builder_add_value (&b, row);
@@ -193,10 +193,9 @@
   return g_variant_builder_end (&b);
 }
 
-/* The service answers Q with STATUS, for which the answer is on its way a
- * while. */
+/* Answers Q for the service with STATUS and sets when the answer arrives. */
 static void
-give_rows (Question *q, CcStatus status, gint64 now)
+give_rows (Request *q, CcStatus status, gint64 now)
 {
   const CcView *v = &world.tables[q->name];
   guint64 after = q->after;
@@ -206,8 +205,8 @@
       status = CC_GONE;
       after = world.newest;
     }
-  q->told = g_variant_ref_sink (q->kind == READ ? read_rows (q)
-                                                : cc_view_since (v, after));
+  q->given = g_variant_ref_sink (q->kind == READ ? read_rows (q)
+                                                 : cc_view_since (v, after));
   q->status = status;
   q->upto = world.newest;
   q->arrives = world.answers == ALL_LATE && now < q->by->late_until
@@ -216,16 +215,16 @@
 }
 
 static void
-end_rows (Question *q)
+end_rows (Request *q)
 {
-  q->rows (q->status, q->told, q->upto, q->status == CC_OK ? "" : "away",
+  q->rows (q->status, q->given, q->upto, q->status == CC_OK ? "" : "away",
            q->data);
-  g_clear_pointer (&q->told, g_variant_unref);
+  g_clear_pointer (&q->given, g_variant_unref);
 }
 
-/* Hands Q's answer over, or the news that there is none. */
+/* Delivers Q's answer, or a timeout if there is none. */
 static void
-end_ask (Question *q)
+end_ask (Request *q)
 {
   CcHttpResult r = { .end = q->answer != NULL ? CC_HTTP_ANSWERED : CC_HTTP_LATE,
                      .why = "late",
@@ -237,57 +236,57 @@
 }
 
 static void
-lose_answer (Question *q)
+lose_answer (Request *q)
 {
   g_clear_pointer (&q->answer, g_bytes_unref);
   end_ask (q);
 }
 
-/* Q's peer, or the service, answers if it is time and it can. */
+/* Answers Q for the peer or the service if that is due and possible. */
 static void
-give_answer (Question *q, gint64 now)
+give_answer (Request *q, gint64 now)
 {
-  if (q->swallowed || q->answer != NULL || q->told != NULL ||
-      (now < q->at && !has_news (q)))
+  if (q->dropped || q->answer != NULL || q->given != NULL ||
+      (now < q->at && !has_updates (q)))
     return;
-  if (q->kind == ASK)
+  if (q->kind == PEER_REQUEST)
     {
       if (!is_reached (q))
         return;
       q->answer =
-          cc_mirror_rows_since (q->peer->mirror, q->since, now - q->came);
+          cc_mirror_rows_since (q->peer->mirror, q->since, now - q->arrived_at);
       q->peer->answers++;
       q->peer->bytes += g_bytes_get_size (q->answer);
       q->arrives = now < q->peer->late_until ? now + q->peer->late_by : now;
     }
   else if (q->by->service == SILENT)
-    q->swallowed = TRUE;
+    q->dropped = TRUE;
   else
-    give_rows (q, q->by->service == WELL ? CC_OK : CC_UNREACHABLE, now);
+    give_rows (q, q->by->service == HEALTHY ? CC_OK : CC_UNREACHABLE, now);
 }
 
-/* Q is given up. */
+/* Times Q out. */
 static void
-lose_question (Question *q, gint64 now)
+lose_request (Request *q, gint64 now)
 {
-  if (q->kind == ASK)
+  if (q->kind == PEER_REQUEST)
     {
       lose_answer (q);
       return;
     }
-  g_clear_pointer (&q->told, g_variant_unref);
+  g_clear_pointer (&q->given, g_variant_unref);
   give_rows (q, CC_UNREACHABLE, now);
   end_rows (q);
 }
 
-/* Returns TRUE if Q has ended.  Whoever stands still takes no answer; in worlds
- * in which all answers may be late it finds on waking what was given meanwhile,
- * in the others nothing is given to it. */
+/* Returns TRUE if Q has ended.  A paused node receives no answer.  With
+ * ALL_LATE, answers that were given meanwhile arrive when it resumes; otherwise
+ * none are given to it. */
 static gboolean
-step_question (Question *q, gint64 now)
+step_request (Request *q, gint64 now)
 {
-  if (q->kind == ASK && q->came == 0 && is_reached (q))
-    q->came = now;
+  if (q->kind == PEER_REQUEST && q->arrived_at == 0 && is_reached (q))
+    q->arrived_at = now;
   if (is_frozen (q->by) && world.answers != ALL_LATE)
     return FALSE;
   if (now < q->given_up)
@@ -296,12 +295,12 @@
     return FALSE;
   if (now >= q->given_up)
     {
-      lose_question (q, now);
+      lose_request (q, now);
       return TRUE;
     }
-  if ((q->answer == NULL && q->told == NULL) || now < q->arrives)
+  if ((q->answer == NULL && q->given == NULL) || now < q->arrives)
     return FALSE;
-  if (q->kind == ASK)
+  if (q->kind == PEER_REQUEST)
     end_ask (q);
   else
     end_rows (q);
@@ -309,26 +308,26 @@
 }
 
 void
-world_step_questions (void)
+world_step_requests (void)
 {
-  /* Answers make new questions, which stand behind the old ones. */
-  g_autoptr (GPtrArray) old = g_steal_pointer (&world.questions);
+  /* Answers cause new requests, which are appended. */
+  g_autoptr (GPtrArray) old = g_steal_pointer (&world.requests);
 
-  world.questions = g_ptr_array_new ();
+  world.requests = g_ptr_array_new ();
   for (guint i = 0; i < old->len; i++)
     {
-      Question *q = old->pdata[i];
+      Request *q = old->pdata[i];
 
-      if (step_question (q, cc_clock_now ()))
+      if (step_request (q, cc_clock_now ()))
         g_free (q);
       else
-        g_ptr_array_add (world.questions, q);
+        g_ptr_array_add (world.requests, q);
     }
 }
 
 /* ---- nodes ---- */
 
-/* Whether N follows a relay and not the granter that ROW names. */
+/* Returns TRUE if N follows a relay and not the granter that ROW names. */
 static gboolean
 is_leaf (const Node *n, const CcRow *row)
 {
@@ -423,15 +422,16 @@
 }
 
 static void
-take_members (Node *n)
+apply_members (Node *n)
 {
   CcMirrorRole role;
   const GPtrArray *rows = cc_mirror_changed (n->mirror, CC_TABLE_STATE);
-  gboolean is_news = FALSE;
+  gboolean concerns_members = FALSE;
 
   for (guint i = 0; i < rows->len; i++)
-    is_news |= cc_members_reads_row (((const CcRow *) rows->pdata[i])->key);
-  if (!is_news)
+    concerns_members |=
+        cc_members_reads_row (((const CcRow *) rows->pdata[i])->key);
+  if (!concerns_members)
     return;
   cc_members_update (n->members, cc_mirror_view (n->mirror, CC_TABLE_STATE));
   role = (CcMirrorRole){ .is_followed = cc_members_is_followed (n->members),
@@ -451,7 +451,7 @@
   if (name == CC_TABLE_UPSTREAMS)
     update_targets (n);
   if (name == CC_TABLE_STATE && n->members != NULL)
-    take_members (n);
+    apply_members (n);
   else if (name == CC_TABLE_STATE && row != NULL)
     {
       gboolean grants = world_node_at (row->value) == n;
@@ -484,12 +484,12 @@
 fail_node (Node *n, gint64 now)
 {
   if (now >= n->service_until)
-    n->service = WELL;
+    n->service = HEALTHY;
   if (now >= n->cut_until)
     memset (n->cut, 0, world.count * sizeof *n->cut);
   if (chance (0.04))
     {
-      n->service = g_rand_boolean (world.rand) ? REFUSES : SILENT;
+      n->service = g_rand_boolean (world.rand) ? REJECTS : SILENT;
       n->service_until = now + span (6);
     }
   if (chance (0.03))
@@ -506,17 +506,17 @@
       n->late_by = span (LATE_MOST);
       n->late_until = now + span (4);
     }
-  if (n->service != WELL || is_frozen (n) ||
+  if (n->service != HEALTHY || is_frozen (n) ||
       (world.answers == ALL_LATE && now < n->late_until))
-    n->well_since = now;
+    n->reachable_since = now;
   if (now < n->cut_until || is_frozen (n))
-    n->free_since = now;
+    n->connected_since = now;
 }
 
 static void
 fail_service (gint64 now)
 {
-  Service how = g_rand_boolean (world.rand) ? REFUSES : SILENT;
+  Service how = g_rand_boolean (world.rand) ? REJECTS : SILENT;
   gint64 until = now + span (8);
 
   for (guint i = 0; i < world.count; i++)
@@ -527,16 +527,18 @@
   world.service_calm = until;
 }
 
-/* The lease: renewed while its holder reaches the service, else taken over. */
+/* Renews the lease while its holder reaches the service; otherwise another node
+ * takes it over. */
 static void
 step_lease (gint64 now)
 {
   g_autoptr (GVariant) no_rows = g_variant_ref_sink (
       g_variant_new_array (G_VARIANT_TYPE ("(sts)"), NULL, 0));
   Node *g = &world.nodes[world.granter];
-  guint heir = (guint) g_rand_int_range (world.rand, 0, (gint32) world.count);
+  guint successor =
+      (guint) g_rand_int_range (world.rand, 0, (gint32) world.count);
 
-  if (g->service == WELL && !is_frozen (g))
+  if (g->service == HEALTHY && !is_frozen (g))
     {
       if (now < world.renewed + RENEWAL)
         return;
@@ -544,10 +546,10 @@
       cc_mirror_lease_written (g->mirror, ++world.newest, now, no_rows);
       return;
     }
-  if (now < world.renewed + TERM || world.nodes[heir].service != WELL ||
-      is_frozen (&world.nodes[heir]))
+  if (now < world.renewed + TERM || world.nodes[successor].service != HEALTHY ||
+      is_frozen (&world.nodes[successor]))
     return;
-  world.granter = heir;
+  world.granter = successor;
   world.renewed = now;
   world_write_granter ();
 }
@@ -566,9 +568,10 @@
   n->config = config;
   if (config == world.config)
     return;
-  if ((now - n->well_since > IN_TOUCH && now - world.service_calm > IN_TOUCH &&
+  if ((now - n->reachable_since > IN_TOUCH &&
+       now - world.service_calm > IN_TOUCH &&
        now - world.changed[config + 1] > APPLIED) ||
-      (now - n->free_since > APPLIED_BY_PEERS &&
+      (now - n->connected_since > APPLIED_BY_PEERS &&
        now - world.service_calm > APPLIED_BY_PEERS &&
        now - world.changed[config + 1] > APPLIED_BY_PEERS))
     g_snprintf (world.failure, sizeof world.failure,
@@ -585,8 +588,7 @@
   world_write_row (CC_TABLE_UPSTREAMS, id, value);
 }
 
-/* An upstream leaves, with a word or without, or a new one comes in its place.
- */
+/* An upstream leaves, with or without notice, or a new one replaces it. */
 static void
 change_upstream (gint64 now)
 {
@@ -595,7 +597,7 @@
   if (world.left[i] == 0)
     {
       world.left[i] = now;
-      world.doubted[i] =
+      world.uncertain[i] =
           now - world.service_calm > IN_TOUCH ? 0 : world.service_calm;
       world_write_upstream (i, g_rand_boolean (world.rand) ? "leaving" : NULL);
       return;
@@ -604,26 +606,27 @@
   world_write_upstream (i, "ready");
 }
 
-/* Until when a node may send to upstream I, which has left, us.  The users'
- * bound is for what a calm service accepted; what vanishes in an outage of the
- * service may have lapsed and be back, until it is missing for long enough
- * after that. */
+/* Returns until when a node may send to upstream I, which has left, us.  The
+ * users' bound holds while the service has no outage.  A row that is missing
+ * after an outage may have expired and may be written again, so the upstream
+ * may be used until the row has been missing for long enough after that. */
 static gint64
 may_send_until (guint i)
 {
   gint64 serves = world.left[i] + (world.relayed ? SERVES_LARGE : SERVES);
 
-  return world.doubted[i] == 0
+  return world.uncertain[i] == 0
              ? serves
-             : MAX (serves, world.doubted[i] + RETURNED + APPLIED);
+             : MAX (serves, world.uncertain[i] + RETURNED + APPLIED);
 }
 
-/* The users' rule for upstreams that leave holds for processes in touch, with
- * the service and by all of their links. */
+/* Checks the users' bound for upstreams that leave, which holds for nodes that
+ * are connected to the service and to all peers. */
 static void
 check_leaving (const Node *n, gint64 now)
 {
-  if (now - n->well_since <= IN_TOUCH || now - n->free_since <= IN_TOUCH ||
+  if (now - n->reachable_since <= IN_TOUCH ||
+      now - n->connected_since <= IN_TOUCH ||
       now - world.service_calm <= IN_TOUCH)
     return;
   for (guint i = 0; i < UPSTREAMS; i++)
@@ -644,13 +647,13 @@
     }
 }
 
-/* The tables of a fleet of COUNT, of which none has started. */
+/* Sets up the tables of a fleet of COUNT nodes, none of which has started. */
 static void
 prepare (guint seed, Answers answers, guint count)
 {
   world.rand = g_rand_new_with_seed (seed);
   g_random_set_seed (seed);
-  world.questions = g_ptr_array_new ();
+  world.requests = g_ptr_array_new ();
   world.newest = world.config = world.granter = 0;
   world.forgotten = 0;
   world.relayed = seed % 2 == 0;
@@ -678,7 +681,7 @@
   gboolean by_members = world.by_members || world.zones > 0;
 
   *n = (Node){ .cut = g_new0 (gboolean, world.count),
-               .askers = g_hash_table_new (NULL, NULL) };
+               .clients = g_hash_table_new (NULL, NULL) };
   cc_targets_init (&n->targets);
   n->targets.leaving_serves = SENT_TO;
   if (world.zones > 0)
@@ -689,7 +692,7 @@
   cc_mirror_start (n->mirror, 0);
 }
 
-/* A fleet that has just started, without any fault yet. */
+/* Starts a fleet without faults. */
 void
 world_begin (guint seed, Answers answers)
 {
@@ -699,8 +702,8 @@
     start_node (i);
 }
 
-/* The same of COUNT members in ZONES zones, whose rows are there, and which
- * follow one another by them. */
+/* The same for COUNT members in ZONES zones, which follow one another by their
+ * members' rows. */
 void
 world_begin_fleet (guint seed, guint count, guint zones)
 {
@@ -719,29 +722,29 @@
   if (n->members != NULL)
     cc_members_free (n->members);
   cc_targets_clear (&n->targets);
-  g_hash_table_unref (n->askers);
+  g_hash_table_unref (n->clients);
   g_free (n->cut);
 }
 
 static void
-question_free (Question *q)
+request_free (Request *q)
 {
   g_clear_pointer (&q->answer, g_bytes_unref);
-  g_clear_pointer (&q->told, g_variant_unref);
+  g_clear_pointer (&q->given, g_variant_unref);
   g_free (q);
 }
 
 static void
-drop_questions (void)
+drop_requests (void)
 {
-  for (guint i = 0; i < world.questions->len; i++)
-    question_free (world.questions->pdata[i]);
-  g_ptr_array_set_size (world.questions, 0);
+  for (guint i = 0; i < world.requests->len; i++)
+    request_free (world.requests->pdata[i]);
+  g_ptr_array_set_size (world.requests, 0);
 }
 
-/* Counts from now on. */
+/* Resets all counters of calls, answers, bytes and clients. */
 void
-world_forget_counts (void)
+world_reset_counts (void)
 {
   for (guint i = 0; i < world.count; i++)
     {
@@ -749,38 +752,38 @@
 
       n->calls = n->answers = 0;
       n->bytes = 0;
-      g_hash_table_remove_all (n->askers);
+      g_hash_table_remove_all (n->clients);
     }
 }
 
-/* Node I is killed and started again at NOW, us: it holds nothing, and who
- * asked it gets no answer. */
+/* Kills node I and restarts it with an empty copy at NOW, us; requests that
+ * were sent to it get no answer. */
 static void
 restart_node (guint i, gint64 now)
 {
   Node *n = &world.nodes[i];
 
-  for (guint k = world.questions->len; k > 0; k--)
+  for (guint k = world.requests->len; k > 0; k--)
     {
-      Question *q = world.questions->pdata[k - 1];
+      Request *q = world.requests->pdata[k - 1];
 
       if (q->peer == n)
         q->given_up = now;
       if (q->by != n)
         continue;
-      g_ptr_array_remove_index (world.questions, k - 1);
-      question_free (q);
+      g_ptr_array_remove_index (world.requests, k - 1);
+      request_free (q);
     }
   end_node (n);
   start_node (i);
-  n->well_since = n->free_since = now;
+  n->reachable_since = n->connected_since = now;
 }
 
-/* All members are killed and started again at one moment. */
+/* Kills all members and restarts them at the same time. */
 void
 world_restart (void)
 {
-  drop_questions ();
+  drop_requests ();
   for (guint i = 0; i < world.count; i++)
     end_node (&world.nodes[i]);
   for (guint i = 0; i < world.count; i++)
@@ -799,7 +802,7 @@
 }
 
 void
-world_play (guint seed, Answers answers)
+world_run_seed (guint seed, Answers answers)
 {
   gint64 now;
 
@@ -814,11 +817,11 @@
         change_upstream (now);
       if (chance (0.02))
         fail_service (now);
-      if (world.answers == FORGETS && chance (FORGETS_A_SECOND))
+      if (world.answers == HISTORY_LOST && chance (HISTORY_LOSSES_A_SECOND))
         world.forgotten = world.newest;
       fail_nodes (now);
       step_lease (now);
-      world_step_questions ();
+      world_step_requests ();
       cc_timers_run ();
       for (guint k = 0; k < world.count; k++)
         if (!is_frozen (&world.nodes[k]))
@@ -838,8 +841,8 @@
   for (guint i = 0; i < world.count; i++)
     end_node (&world.nodes[i]);
   g_free (world.nodes);
-  drop_questions ();
-  g_ptr_array_unref (world.questions);
+  drop_requests ();
+  g_ptr_array_unref (world.requests);
   for (guint i = 0; i < CC_TABLE_FOLLOWED; i++)
     cc_view_clear (&world.tables[i]);
   g_rand_free (world.rand);
@@ -852,7 +855,7 @@
     {
       cc_clock_advance (STEP);
       step_lease (cc_clock_now ());
-      world_step_questions ();
+      world_step_requests ();
       cc_timers_run ();
       for (guint k = 0; k < world.count; k++)
         if (world.nodes[k].targets_due != 0 &&
@@ -875,10 +878,10 @@
   cc_mirror_lease_written (g->mirror, world.newest, world.renewed, rows);
 }
 
-/* The most calls of one process that nobody follows, of a FLEET of so many, in
- * an outage of OUTAGE us: it asks about one table with pauses that double from
- * an eighth of the longest, and all together ask as often as twelve that pause
- * for 350 ms. */
+/* Returns the most calls that one process which nobody follows may make in a
+ * fleet of FLEET processes during an outage of OUTAGE us.  It retries one table
+ * with pauses that double from an eighth of the longest, and the whole fleet
+ * makes as many calls as twelve processes that pause for 350 ms. */
 guint
 world_calls_most (gint64 outage, guint fleet)
 {
--- a/test/mirror_world.h
+++ b/test/mirror_world.h
@@ -1,6 +1,6 @@
-/* A fleet whose members follow one another's copies of the rows, in one
- * process: a table service, questions and answers on their way, and the faults
- * of both.  Stands in for table.h and http_link.h. */
+/* Simulates, in one process, a fleet whose members follow one another's copies:
+ * the table service, requests and answers in transit, and faults of both.
+ * Implements table.h and http_link.h in their place. */
 #ifndef CC_TEST_MIRROR_WORLD_H
 #define CC_TEST_MIRROR_WORLD_H
 
@@ -10,7 +10,7 @@
 
 #define NODES 7
 #define STRONG 3        /* members of each zone of a fleet */
-#define RELAYS 2        /* nodes that others follow, in half of the worlds */
+#define RELAYS 2        /* nodes that others follow, for even seeds */
 #define FIRST_READERS 3 /* nodes that read all tables at their start */
 #define STEP (10 * CC_MS)
 #define PAGE 500   /* rows of one answer of the service */
@@ -20,130 +20,131 @@
 #define WATCH_WITHIN (700 * CC_MS)
 #define PEER_TAKES (2 * CC_MS)
 #define RENEWAL (650 * CC_MS)
-/* The lease goes to another after its holder was cut off for so long. */
+/* The lease goes to another node after its holder was cut off for so long. */
 #define TERM (2250 * CC_MS)
-/* The users' bounds: who was in touch for IN_TOUCH has a change APPLIED after
- * it was written. */
+/* Users' bound: a node that was connected for IN_TOUCH has a change within
+ * APPLIED after it was written. */
 #define IN_TOUCH (3 * CC_SECOND)
 #define APPLIED (2 * CC_SECOND)
-/* An upstream that leaves serves for SERVES, in fleets that have relays for
- * SERVES_LARGE, as the users' pages say of both sizes; and is sent to for less.
- */
+/* Users' bound: an upstream that leaves serves for SERVES, in fleets that have
+ * relays for SERVES_LARGE.  Nodes send to it for SENT_TO at most. */
 #define SERVES (2 * CC_SECOND)
 #define SERVES_LARGE (2500 * CC_MS)
 #define SENT_TO (1750 * CC_MS)
 #define UPSTREAMS 12
-/* Rows that lapsed in an outage of the service are back so long after it. */
+/* Rows that expired in an outage of the service are written again within this
+ * time after it. */
 #define RETURNED (2 * CC_SECOND)
-/* In some worlds, how often a node's answers to peers, and the service's to it,
- * begin to be late, and by how many seconds at most: its link loses segments,
- * which are sent again, or its processor is short. */
+/* With PEERS_LATE and ALL_LATE: how often a node's answers to peers, and the
+ * service's answers to it, begin to be late, and by how many seconds at most:
+ * its link retransmits lost segments, or it is short of processor time. */
 #define LATE_A_SECOND 0.1
 #define LATE_MOST 1.0
-/* How often the service forgets its history, in some worlds. */
-#define FORGETS_A_SECOND 0.5
-/* How often a node is killed and started again, in some worlds. */
+/* With HISTORY_LOST: how often the service discards its history. */
+#define HISTORY_LOSSES_A_SECOND 0.5
+/* With RESTARTS: how often a node is killed and restarted. */
 #define RESTARTS_A_SECOND 0.05
-#define LARGE 50 /* processes of such a fleet */
-/* One that the service turns away hears of it from its peers. */
+#define LARGE 50 /* processes of a fleet with relays */
+/* A node that the service rejects has a change from its peers by then. */
 #define APPLIED_BY_PEERS (7 * CC_SECOND)
-/* Deletions are doubted for so long after an outage (targets.h). */
-#define DOUBTED (1750 * CC_MS)
+/* Deletions are uncertain for this time after an outage (targets.h). */
+#define UNCERTAIN_FOR (1750 * CC_MS)
 
 typedef enum
 {
-  WELL,
-  REFUSES,
-  SILENT /* questions are swallowed */
+  HEALTHY,
+  REJECTS,
+  SILENT /* requests are dropped */
 } Service;
 
 typedef struct
 {
   CcMirror *mirror;
-  Service service; /* as this node meets it */
+  Service service; /* state of the service towards this node */
   gint64 service_until;
   gint64 frozen_until;
-  gint64 well_since; /* us: neither frozen nor turned away */
-  gint64 free_since; /* us: neither frozen nor cut off from peers */
-  gboolean *cut;     /* from each node */
+  gint64 reachable_since; /* us: neither paused nor rejected by the service
+                             since */
+  gint64 connected_since; /* us: neither paused nor cut off from peers since */
+  gboolean *cut;          /* from each node */
   gint64 cut_until;
-  gint64 late_by; /* its answers to peers, and what the service answers it, are
-                     on their way for so long, us */
+  gint64 late_by; /* transit time of its answers to peers, and of the service's
+                     answers to it, us */
   gint64 late_until;
-  guint calls;        /* of the service */
-  CcMembers *members; /* NULL: it follows as RELAYED says */
-  guint answers;      /* to peers */
-  guint64 bytes;      /* ... of rows in them */
-  GHashTable *askers; /* of Node: peers that asked it */
-  guint config;       /* by its copy, at the last look */
+  guint calls;         /* to the service */
+  CcMembers *members;  /* NULL: world.relayed determines whom it follows */
+  guint answers;       /* to peers */
+  guint64 bytes;       /* ... of rows in them */
+  GHashTable *clients; /* of Node: peers that sent it requests */
+  guint config;        /* version in its copy at the last check */
   CcTargets targets;
-  gint64 targets_due; /* missing ones are looked at again, us; 0: none */
+  gint64 targets_due; /* next evaluation of missing targets, us; 0: none */
 } Node;
 
-/* Whose answers are late now and then, or what else is wrong with them. */
+/* Which answers are delayed periodically, or which other fault occurs. */
 typedef enum
 {
   IN_TIME,
   PEERS_LATE,
   ALL_LATE,
-  FORGETS, /* in time; the service forgets its history now and then */
-  RESTARTS /* in time; nodes are killed and started again */
+  HISTORY_LOST, /* in time; the service discards its history periodically */
+  RESTARTS      /* in time; nodes are killed and restarted */
 } Answers;
 
 typedef enum
 {
   READ,
   WATCH,
-  ASK
+  PEER_REQUEST
 } Kind;
 
-/* A question on its way. */
+/* A pending request. */
 typedef struct
 {
   Kind kind;
   Node *by;
-  gint64 asked;    /* us */
-  gint64 at;       /* when it is answered without news, us */
-  gint64 given_up; /* when its sender gives it up, us */
-  gboolean swallowed;
+  gint64 sent_at;  /* us */
+  gint64 at;       /* when it is answered if nothing has changed, us */
+  gint64 given_up; /* when it times out, us */
+  gboolean dropped;
   CcTableName name; /* READ, WATCH */
   const char *to;   /* first key that is not read; NULL: all are */
   guint64 after;
   CcTableRows rows;
-  GVariant *told; /* ... on their way; NULL: not given yet */
+  GVariant *given; /* rows in transit; NULL: not answered yet */
   CcStatus status;
   guint64 upto;
-  Node *peer;     /* ASK */
-  gint64 came;    /* ... to it, us; 0: not yet */
-  GBytes *answer; /* ... on its way; NULL: not given yet */
-  gint64 arrives; /* us */
+  Node *peer;        /* PEER_REQUEST */
+  gint64 arrived_at; /* when it reached PEER, us; 0: not yet */
+  GBytes *answer;    /* in transit; NULL: not given yet */
+  gint64 arrives;    /* when the answer arrives, us */
   guint64 since[CC_MIRROR_VERSIONS];
   CcHttpDone done;
   gpointer data;
-} Question;
+} Request;
 
 typedef struct
 {
   GRand *rand;
   Node *nodes;
-  guint count;          /* of NODES */
-  GPtrArray *questions; /* of Question */
+  guint count;         /* of NODES */
+  GPtrArray *requests; /* of Request */
   CcView tables[CC_TABLE_FOLLOWED];
   guint64 newest;
-  guint64 forgotten;      /* changes up to this one aren't known any more */
-  guint config;           /* counts the changes */
-  gint64 changed[STEPS];  /* when each configuration was written, us */
-  gint64 left[UPSTREAMS]; /* when each said that it leaves, us; 0: it has not */
-  gint64 doubted[UPSTREAMS]; /* ... in an outage of the service itself, which
-                                was over then, us; 0: the service was calm */
+  guint64 forgotten;           /* newest version of the discarded history */
+  guint config;                /* number of configurations written */
+  gint64 changed[STEPS];       /* when each configuration was written, us */
+  gint64 left[UPSTREAMS];      /* when each began to leave, us; 0: it has not */
+  gint64 uncertain[UPSTREAMS]; /* end of the outage of the service in which it
+                                  left, us; 0: there was none */
   guint granter;
-  gint64 renewed;      /* us */
-  gint64 service_calm; /* no outage of the service itself since, us */
-  gboolean relayed;    /* the nodes but RELAYS follow those */
-  gboolean by_members; /* who starts reads first who is there */
-  guint zones;         /* of a fleet by its members' rows; 0: another */
+  gint64 renewed;      /* last renewal of the lease, us */
+  gint64 service_calm; /* end of the service's last outage for all nodes, us */
+  gboolean relayed;    /* all nodes but the first RELAYS follow those */
+  gboolean by_members; /* a starting node reads the members' rows first */
+  guint zones;         /* of a fleet with members' rows; 0: it has none */
   Answers answers;
-  char failure[200]; /* what a check found; empty: nothing */
+  char failure[200]; /* first failed check; empty: none */
 } World;
 
 extern World world;
@@ -154,11 +155,11 @@
 void world_write_range (const char *value);
 void world_clear (void);
 Node *world_node_at (const char *address);
-void world_forget_counts (void);
+void world_reset_counts (void);
 void world_run_until (gint64 until);
 guint world_calls_most (gint64 outage, guint fleet);
-void world_step_questions (void);
-void world_play (guint seed, Answers answers);
+void world_step_requests (void);
+void world_run_seed (guint seed, Answers answers);
 void world_check_node (Node *n, gint64 now);
 void world_write_row (CcTableName name, const char *key, const char *value);
 void world_write_config (void);
--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -1,9 +1,7 @@
-/* The control path of whole fleets: who hears of rows from whom, in fleets of
- * 30 to 1,000 members in five zones, with what the modules say to one another
- * counted.
- *
- * Bounds are drawn from the shares of a member: a tenth of its link for rows
- * while keys move, all of it for a second when everything starts. */
+/* Guards against control traffic that grows with the fleet: counts calls,
+ * answers and bytes in fleets of 30 to 1,000 members in five zones.  A member
+ * may use a tenth of its link for rows while keys move, and all of it for a
+ * second at a start. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -23,17 +21,17 @@
 #define LINK_WEAK (20e6 / 8)
 #define ROWS_PART 0.1       /* of a link, while keys move */
 #define CHANGES_A_SECOND 10 /* to ranges */
-#define HEARD_WITHIN (100 * CC_MS)
-/* The granter watches three tables, and two of them for as long as they are
- * fresh; nobody else asks while nothing fails. */
+#define PASSED_ON_WITHIN (100 * CC_MS)
+/* The granter watches three tables, two of them with the shorter freshness
+ * wait; no other member calls the service while nothing fails. */
 #define REST_CALLS_A_SECOND 8.0
-/* A relay follows the granter, a leaf a relay; both ask again at least this
- * often, and get an answer for each change. */
-#define ASKS_A_SECOND (1 / 0.9 + CHANGES_A_SECOND + 2)
+/* A relay follows the granter, a leaf a relay; both send a request at least
+ * this often, and get an answer for each change. */
+#define CALLS_A_SECOND (1 / 0.9 + CHANGES_A_SECOND + 2)
 #define WHOLE_WITHIN (700 * CC_MS)
 
-/* What a member of a fleet of 2,700 may spend on control: 1.2% of a core, at
- * 0.1 ms of it an answer or a report, and 6 kB a second. */
+/* What a member of a fleet of 2,700 may spend on control traffic: 1.2% of a
+ * core, at 0.1 ms for an answer or a report, and 6 kB a second. */
 #define ANSWERS_MOST 120.0 /* a second */
 #define REPORTS_MOST 120.0 /* a second */
 #define BYTES_MOST 6000.0  /* of rows, a second */
@@ -42,7 +40,7 @@
 #define SLOW_SPAN 4        /* s */
 #define REPORT_DRAWS 10
 
-/* The last takes too long for all but one test. */
+/* The last size takes too long for all but two tests. */
 static const guint sizes[] = { 30, 100, 300, 1000 };
 
 static double
@@ -86,11 +84,12 @@
   return row != NULL ? row->value : "";
 }
 
-/* What one member said in SECONDS, against its link and its followers. */
+/* Checks what each member sent in SECONDS against its link and its number of
+ * followers. */
 static void
 check_load (double seconds)
 {
-  /* Drawn at random, a relay has more of them than its share now and then. */
+  /* Leaves choose relays at random, so a relay may have more than its share. */
   guint followers = MIN (world.count / ZONES / STRONG, FOLLOWERS_MOST) * 2;
   guint relays = ZONES * MAX (STRONG, world.count / ZONES / FOLLOWERS_MOST);
   guint answers = 0;
@@ -104,7 +103,7 @@
       if ((double) n->bytes > ROWS_PART * link_of (i) * seconds)
         fail_msg ("%u members: member %u sent %.0f bytes a second", world.count,
                   i, (double) n->bytes / seconds);
-      if (n->answers > most * ASKS_A_SECOND * seconds)
+      if (n->answers > most * CALLS_A_SECOND * seconds)
         fail_msg ("%u members: member %u gave %.0f answers a second",
                   world.count, i, n->answers / seconds);
     }
@@ -115,7 +114,7 @@
 }
 
 /* Load: ranges of keys change ten times a second.  Guards against calls to the
- * table, or bytes of one member, that grow with the fleet. */
+ * table service, or bytes sent by one member, that grow with the fleet. */
 static void
 moves_cost_the_table_nothing_more_in_a_large_fleet (void **state)
 {
@@ -125,14 +124,14 @@
       guint changes = 3 * CHANGES_A_SECOND;
 
       begin_with_ranges (s + 1, sizes[s]);
-      world_forget_counts ();
+      world_reset_counts ();
       for (guint i = 0; i < changes; i++)
         {
           const char *value = i % 2 ? "a" : "b";
           gint64 at = cc_clock_now ();
 
           world_write_range (value);
-          world_run_until (at + HEARD_WITHIN);
+          world_run_until (at + PASSED_ON_WITHIN);
           for (guint k = 0; k < world.count; k++)
             if (!g_str_equal (value_at (k), value))
               fail_msg ("%u members: member %u has an old row", sizes[s], k);
@@ -145,7 +144,7 @@
   cc_clock_resume ();
 }
 
-/* The reports a second of the member that takes most. */
+/* Returns the highest number of reports a second that one member receives. */
 static double
 most_reports (void)
 {
@@ -168,13 +167,13 @@
   return most;
 }
 
-/* The most that one member did, a second. */
+/* The highest rates of any single member, a second. */
 typedef struct
 {
   double answers;
   double bytes;
   double reports;
-  guint peers; /* connections of those that asked it */
+  guint peers; /* that sent it requests, each on a connection */
 } Busiest;
 
 static Busiest
@@ -188,7 +187,7 @@
 
       b.answers = MAX (b.answers, n->answers / seconds);
       b.bytes = MAX (b.bytes, (double) n->bytes / seconds);
-      b.peers = MAX (b.peers, g_hash_table_size (n->askers));
+      b.peers = MAX (b.peers, g_hash_table_size (n->clients));
     }
   return b;
 }
@@ -206,7 +205,7 @@
 }
 
 /* Load: a range changes each second.  Guards against a member whose work for
- * the others grows with the fleet. */
+ * its peers grows with the fleet. */
 static void
 the_busiest_member_keeps_within_its_share (void **state)
 {
@@ -214,7 +213,7 @@
   Busiest b;
 
   begin_with_ranges (1, *size);
-  world_forget_counts ();
+  world_reset_counts ();
   change_ranges (SLOW_SPAN * SLOW_CHANGES, CC_SECOND / SLOW_CHANGES);
   b = find_busiest (SLOW_SPAN);
   world_clear ();
@@ -235,7 +234,7 @@
         (void *) &sizes[SIZE]                                                  \
   }
 
-/* Load: all members are killed and started again.  Guards against a start that
+/* Load: all members are killed and restarted.  Guards against a start that
  * takes longer, or costs a member more calls, in a larger fleet. */
 static void
 a_fleet_is_whole_again_soon (void **state)
@@ -265,8 +264,8 @@
   cc_clock_resume ();
 }
 
-/* Load: the table is away for all.  Guards against processes that nobody
- * follows asking it as often as a small fleet's. */
+/* Load: the table service is unreachable for the whole fleet.  Guards against
+ * processes that nobody follows retrying as often as those of a small fleet. */
 static void
 an_outage_costs_a_member_less_in_a_large_fleet (void **state)
 {
@@ -276,9 +275,9 @@
   for (guint s = 0; s < G_N_ELEMENTS (sizes) - 1; s++)
     {
       begin_with_ranges (s + 1, sizes[s]);
-      world_forget_counts ();
+      world_reset_counts ();
       for (guint i = 0; i < world.count; i++)
-        world.nodes[i].service = REFUSES;
+        world.nodes[i].service = REJECTS;
       world_run_until (cc_clock_now () + outage);
       for (guint i = STRONG * ZONES; i < world.count; i++)
         if (world.nodes[i].calls > world_calls_most (outage, sizes[s]))
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -1,14 +1,7 @@
-/* Copies of the rows in a fleet whose members follow one another, in seeded
- * worlds.
- *
- * What callers would see if it failed: an entry that routes by an old
- * configuration although it could know the new one, or that goes back to an old
- * one.  In each world several of this happen at once: the table service turns
- * single processes away or all, swallows their questions, peers can't reach
- * each other, processes stand still, the one that is followed is lost.  No copy
- * may ever go back, and one that could reach the service for a while must have
- * a change within two seconds, and send nothing to an upstream that said two
- * seconds ago that it leaves. */
+/* Guards against copies that go back to an older configuration, miss a change
+ * for 2 s, or keep an upstream that left 2 s ago, while calls are rejected or
+ * dropped, peers are partitioned, and processes stall; in seeded simulations.
+ */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -23,9 +16,9 @@
 
 #define SEEDS 600
 
-/* Plays all worlds, or the one that the environment's SEED names. */
+/* Runs all seeds, or the one that the environment variable SEED names. */
 static void
-play_worlds (Answers answers)
+run_seeds (Answers answers)
 {
   const char *only = g_getenv ("SEED");
   guint first = only != NULL ? (guint) atoi (only) : 1;
@@ -33,7 +26,7 @@
 
   for (guint seed = first; seed <= last; seed++)
     {
-      world_play (seed, answers);
+      world_run_seed (seed, answers);
       if (world.failure[0] != '\0')
         fail_msg ("seed %u: %s", seed, world.failure);
       world_clear ();
@@ -45,121 +38,117 @@
 a_copy_is_new_and_never_goes_back (void **state)
 {
   (void) state;
-  play_worlds (IN_TIME);
+  run_seeds (IN_TIME);
 }
 
-/* The caller sees a request for a key sent to its owner after that has ended,
- * by an entry that had heard of its leaving.  The entry follows another's copy.
- * An answer of that one, which says how old its news are, was on its way for
- * most of a second while the owner said that it leaves; the entry counted the
- * news' age from when the answer came.  So it took the owner's row for younger
- * than it was, and an old copy for a new one.  In the logs of real processes,
- * others had heard of the owner before the moment at which the entry held its
- * leaving to have begun. */
+/* Guards against a request for a key that is sent to its owner after that has
+ * exited.  A followed peer's answer is in transit for most of a second while
+ * the owner announces that it leaves; a follower that counts the age of the
+ * rows from the arrival takes them for younger than they are. */
 static void
-an_answer_that_was_late_is_no_younger_for_it (void **state)
+a_delayed_answer_counts_from_when_it_was_given (void **state)
 {
   (void) state;
-  play_worlds (PEERS_LATE);
+  run_seeds (PEERS_LATE);
 }
 
-/* The caller sees the same, or is routed by an old configuration.  It is the
- * followed process that heard late from the service, since its link was slow or
- * it stood still, and took its copy for as new as the moment. */
+/* The same, or routing by an old configuration, where the followed process
+ * receives the service's answer late, because its link is slow or it was
+ * paused, and counts its copy as fresh from the arrival. */
 static void
-a_late_answer_of_the_service_is_no_younger_for_it (void **state)
+a_delayed_answer_of_the_service_counts_from_when_it_was_given (void **state)
 {
   (void) state;
-  play_worlds (ALL_LATE);
+  run_seeds (ALL_LATE);
 }
 
-/* The caller sees a request sent to an upstream that has ended.  The service
- * forgot its history, with the deletion of that upstream's row in it; who reads
- * the table whole must find the row missing. */
+/* Guards against a request to an upstream that has exited.  The service has
+ * discarded its history with the deletion of that upstream's row; a full read
+ * must detect that the row is missing. */
 static void
 a_forgotten_history_hides_no_deletion (void **state)
 {
   (void) state;
-  play_worlds (FORGETS);
+  run_seeds (HISTORY_LOST);
 }
 
-/* Guards against a row that stays for ever: the peer that is followed was
- * started again and read the table after the row's deletion. */
+/* Guards against a deleted row that is kept for good: the followed peer was
+ * restarted and read the table after the deletion. */
 static void
 a_restarted_peer_hides_no_deletion (void **state)
 {
   (void) state;
-  play_worlds (RESTARTS);
+  run_seeds (RESTARTS);
 }
 
-/* Worlds beyond the first, in which a node was found to send too late. */
+/* Further seeds, in which a node sent to an upstream too late. */
 static const struct
 {
   guint seed;
-  const char *cause; /* for which it failed then */
-} once_failed[] = {
-  { 1541, "the followed one's list of upstreams was older than it said" },
+  const char *cause; /* of that failure */
+} regression_seeds[] = {
+  { 1541, "the followed peer's list of upstreams was older than reported" },
   { 2526, "the same" },
   { 2801, "the same" },
-  { 2260, "an outage was taken to have lasted until it was noticed" },
+  { 2260, "an outage was taken to have lasted until it was detected" },
   { 3766, "the same" },
 };
 
-/* Worlds beyond the first, whose service forgets its history, likewise. */
+/* The same, with a service that discards its history. */
 static const struct
 {
   guint seed;
   const char *cause;
-} once_failed_forgetful[] = {
-  { 1771, "a peer's word did not end an outage that was noticed late" },
+} regression_seeds_history[] = {
+  { 1771, "a peer's answer did not end an outage that was detected late" },
 };
 
-/* A world in which a node that the service had turned away alone heard from it
- * again two seconds after it could, since a large fleet asks rarely in an
- * outage; it could not tell that the outage was its own, as all its peers'
- * answers were old, and doubted a deletion of meanwhile for longer than the
- * upstream serves.
+/* In this seed the service rejects a single node, which gets its next answer
+ * two seconds later than possible, since a large fleet retries rarely.  All
+ * answers of its peers were stale by then, so it can't tell that the outage is
+ * its own, and treats a deletion as uncertain for longer than the upstream
+ * serves.
  */
-#define DOUBTS_TOO_LONG 1024
+#define UNCERTAIN_TOO_LONG 1024
 
 static void
-a_world_with_one_turned_away_and_late_answers (void **state)
+one_rejected_node_with_late_answers (void **state)
 {
   (void) state;
-  world_play (DOUBTS_TOO_LONG, PEERS_LATE);
+  world_run_seed (UNCERTAIN_TOO_LONG, PEERS_LATE);
   if (world.failure[0] != '\0')
-    fail_msg ("seed %u: %s", DOUBTS_TOO_LONG, world.failure);
+    fail_msg ("seed %u: %s", UNCERTAIN_TOO_LONG, world.failure);
   world_clear ();
   cc_clock_resume ();
 }
 
 static void
-worlds_that_once_failed (void **state)
+regression_seeds_pass (void **state)
 {
   (void) state;
-  for (guint i = 0; i < G_N_ELEMENTS (once_failed); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (regression_seeds); i++)
     {
-      world_play (once_failed[i].seed, IN_TIME);
+      world_run_seed (regression_seeds[i].seed, IN_TIME);
       if (world.failure[0] != '\0')
-        fail_msg ("seed %u (%s): %s", once_failed[i].seed, once_failed[i].cause,
-                  world.failure);
+        fail_msg ("seed %u (%s): %s", regression_seeds[i].seed,
+                  regression_seeds[i].cause, world.failure);
       world_clear ();
     }
-  for (guint i = 0; i < G_N_ELEMENTS (once_failed_forgetful); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (regression_seeds_history); i++)
     {
-      world_play (once_failed_forgetful[i].seed, FORGETS);
+      world_run_seed (regression_seeds_history[i].seed, HISTORY_LOST);
       if (world.failure[0] != '\0')
-        fail_msg ("seed %u (%s): %s", once_failed_forgetful[i].seed,
-                  once_failed_forgetful[i].cause, world.failure);
+        fail_msg ("seed %u (%s): %s", regression_seeds_history[i].seed,
+                  regression_seeds_history[i].cause, world.failure);
       world_clear ();
     }
   cc_clock_resume ();
 }
 
-/* The one that is followed is cut off from the service alone, and says so with
- * every answer.  A follower that took that for an outage of its own would doubt
- * all deletions for as long, and its callers' requests would go to upstreams
- * that have left. */
+/* Only the followed peer is cut off from the service, and reports that with
+ * every answer.  Guards against a follower that adopts the outage: it would
+ * treat all deletions as uncertain and send requests to upstreams that have
+ * left. */
 static void
 outages_of_one_that_is_cut_off_are_its_own (void **state)
 {
@@ -173,45 +162,45 @@
       cc_clock_advance (STEP);
       now = cc_clock_now ();
       for (guint k = 0; k < RELAYS; k++)
-        world.nodes[k].service = now > 4 * CC_SECOND ? REFUSES : WELL;
-      world_step_questions ();
+        world.nodes[k].service = now > 4 * CC_SECOND ? REJECTS : HEALTHY;
+      world_step_requests ();
       cc_timers_run ();
     }
   for (guint k = RELAYS; k < NODES; k++)
     {
       const CcMirror *m = world.nodes[k].mirror;
 
-      assert_true (now - cc_mirror_outage (m) > DOUBTED);
-      assert_true (now - cc_mirror_own_outage (m) > DOUBTED);
+      assert_true (now - cc_mirror_outage (m) > UNCERTAIN_FOR);
+      assert_true (now - cc_mirror_own_outage (m) > UNCERTAIN_FOR);
     }
   world_clear ();
   cc_clock_resume ();
 }
 
-/* Lets time pass until the granter begins to watch the list of upstreams, and
- * has the service swallow that question and answer all others. */
+/* Runs until the granter begins to watch the list of upstreams, and makes the
+ * service drop that call and answer all others. */
 static void
-swallow_next_watch_of_upstreams (void)
+drop_next_watch_of_upstreams (void)
 {
   for (;;)
     {
       gint64 now = cc_clock_now ();
 
-      for (guint i = 0; i < world.questions->len; i++)
+      for (guint i = 0; i < world.requests->len; i++)
         {
-          Question *q = world.questions->pdata[i];
+          Request *q = world.requests->pdata[i];
 
           if (q->kind != WATCH || q->name != CC_TABLE_UPSTREAMS ||
-              q->by != &world.nodes[world.granter] || q->asked < now)
+              q->by != &world.nodes[world.granter] || q->sent_at < now)
             continue;
-          q->swallowed = TRUE;
+          q->dropped = TRUE;
           return;
         }
       world_run_until (now + STEP);
     }
 }
 
-/* Whether node K would send a request for a key of the upstream u0. */
+/* Returns TRUE if node K would send a request for a key of the upstream u0. */
 static gboolean
 sends_to_first (guint k)
 {
@@ -224,32 +213,31 @@
 {
   const char *name;
   const char *row;  /* of the upstream that leaves; NULL: none */
-  gint64 leaves_ms; /* after the watch was swallowed */
-} Swallowed;
-
-static const Swallowed swallowed[] = {
-  { "one that leaves", "leaving", 100 },
-  { "one that leaves later", "leaving", 500 },
-  { "one that vanishes", NULL, 100 },
-  { "one that vanishes later", NULL, 500 },
+  gint64 leaves_ms; /* after the watch was dropped */
+} DroppedWatch;
+
+static const DroppedWatch dropped[] = {
+  { "an upstream that leaves", "leaving", 100 },
+  { "an upstream that leaves later", "leaving", 500 },
+  { "an upstream whose row is deleted", NULL, 100 },
+  { "an upstream whose row is deleted later", NULL, 500 },
 };
 
-/* The caller sees a request for a key sent to its owner after that has ended.
- * The table service swallowed one watch of the list of upstreams, that of the
- * process whose copy the others follow, and answered its watch of the
- * configuration all the time.  So its copy passed for new, in its own eyes and
- * in theirs, while the owner left. */
+/* Guards against a request for a key that is sent to its owner after that has
+ * exited.  The service drops the granter's watch of the list of upstreams and
+ * answers its watch of the configuration, so that the copy counts as fresh, at
+ * the granter and its followers, while the owner leaves. */
 static void
-one_watch_that_is_swallowed_makes_no_one_late (void **state)
+one_dropped_watch_makes_no_copy_late (void **state)
 {
   (void) state;
-  for (guint i = 0; i < G_N_ELEMENTS (swallowed); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (dropped); i++)
     {
-      const Swallowed *c = &swallowed[i];
+      const DroppedWatch *c = &dropped[i];
 
       world_begin (1, IN_TIME);
       world_run_until (4 * CC_SECOND);
-      swallow_next_watch_of_upstreams ();
+      drop_next_watch_of_upstreams ();
       world_run_until (cc_clock_now () + c->leaves_ms * CC_MS);
       world_write_upstream (0, c->row);
       world_run_until (cc_clock_now () + SERVES);
@@ -261,11 +249,11 @@
   cc_clock_resume ();
 }
 
-/* The caller sees the same.  The swallowed watch is given up seconds later, and
- * the service is taken to have been away until then, although it answered other
- * calls; so the deletion of an owner that vanished in the meantime is doubted.
- * That took another table's answer just before the watch was given up, so rows
- * of another table change at one moment after the other. */
+/* The same failure.  The dropped watch times out seconds later, and the service
+ * appears to have been down until then although it answered other calls, so the
+ * deletion of an owner meanwhile counts as uncertain.  It depends on another
+ * table's answer just before the timeout, so another table changes at each of
+ * 40 times in turn. */
 static void
 an_outage_ends_with_the_next_answer (void **state)
 {
@@ -276,7 +264,7 @@
 
       world_begin (1, IN_TIME);
       world_run_until (4 * CC_SECOND);
-      swallow_next_watch_of_upstreams ();
+      drop_next_watch_of_upstreams ();
       world_run_until (cc_clock_now () + CC_SECOND);
       left = cc_clock_now ();
       world_write_upstream (0, NULL);
@@ -290,12 +278,13 @@
   cc_clock_resume ();
 }
 
-/* One that gets an old copy asks the service for each table every 0.8 s. */
-#define ASKS_A_SECOND (CC_TABLE_FOLLOWED / 0.8)
+/* A node that gets a stale copy queries the service for each table every
+ * 0.8 s. */
+#define CALLS_A_SECOND (CC_TABLE_FOLLOWED / 0.8)
 
 /* Load: ranges of keys change twenty times a second while one watch of the
- * granter is swallowed.  Guards against every follower that sees the copy grow
- * old watching each of these changes by itself. */
+ * granter is dropped.  Guards against followers that watch the service directly
+ * for each of these changes because the granter's copy becomes stale. */
 static void
 an_old_copy_costs_its_followers_few_calls (void **state)
 {
@@ -308,7 +297,7 @@
       world_begin (1, IN_TIME);
       world.relayed = relayed != 0;
       world_run_until (4 * CC_SECOND);
-      swallow_next_watch_of_upstreams ();
+      drop_next_watch_of_upstreams ();
       from = cc_clock_now ();
       for (guint k = 0; k < NODES; k++)
         before[k] = world.nodes[k].calls;
@@ -319,7 +308,7 @@
         }
       for (guint k = 0; k < NODES; k++)
         if (k != world.granter && world.nodes[k].calls - before[k] >
-                                      ASKS_A_SECOND * 3 + CC_TABLE_FOLLOWED)
+                                      CALLS_A_SECOND * 3 + CC_TABLE_FOLLOWED)
           fail_msg ("node %u made %u calls", k,
                     world.nodes[k].calls - before[k]);
       world_clear ();
@@ -328,8 +317,8 @@
 }
 
 /* Load: ranges of keys change twenty times a second.  Guards against a granter
- * that hears of each of its own writes by a watch, and followers that wait for
- * that. */
+ * that learns of its own writes only through a watch, and followers that wait
+ * for that. */
 static void
 own_writes_are_known_without_a_call (void **state)
 {
@@ -359,18 +348,19 @@
   cc_clock_resume ();
 }
 
-/* A lost granter is asked again each second; until then, and for its answer's
- * way, a change costs a call. */
-#define WATCHES_FOR (1200 * CC_MS)
+/* A lost granter is polled every second.  Until then, and while its answer is
+ * in transit, a change costs a call. */
+#define DIRECT_WATCH_FOR (1200 * CC_MS)
 
-/* Load: ranges of keys change twenty times a second as the granter stands still
- * for a moment.  Guards against all that follow it watching by themselves for
- * seconds after it answers again. */
+/* Load: ranges of keys change twenty times a second while the granter stalls
+ * for a moment.  Guards against followers that watch the service directly for
+ * seconds after the granter answers again. */
 static void
 a_granter_that_answers_again_is_followed (void **state)
 {
-  guint most = (guint) (WATCHES_FOR / (50 * CC_MS)) +
-               (guint) (2 * WATCHES_FOR / (600 * CC_MS)) + CC_TABLE_FOLLOWED;
+  guint most = (guint) (DIRECT_WATCH_FOR / (50 * CC_MS)) +
+               (guint) (2 * DIRECT_WATCH_FOR / (600 * CC_MS)) +
+               CC_TABLE_FOLLOWED;
   guint before[NODES];
 
   (void) state;
@@ -397,8 +387,8 @@
   cc_clock_resume ();
 }
 
-/* Load: the service is down for all.  Guards against every process that nobody
- * follows asking it for each table, again and again. */
+/* Load: the service is down for the whole fleet.  Guards against processes that
+ * nobody follows retrying each table all the time. */
 static void
 an_outage_costs_leaves_few_calls (void **state)
 {
@@ -406,8 +396,8 @@
   {
     Service how;
     gint64 lasts;
-  } cases[] = { { REFUSES, 4500 * CC_MS },
-                { REFUSES, 9 * CC_SECOND },
+  } cases[] = { { REJECTS, 4500 * CC_MS },
+                { REJECTS, 9 * CC_SECOND },
                 { SILENT, 4500 * CC_MS } };
 
   (void) state;
@@ -429,7 +419,7 @@
           fail_msg ("case %u: node %u made %u calls", i, k,
                     world.nodes[k].calls - before[k]);
       for (guint k = 0; k < NODES; k++)
-        world.nodes[k].service = WELL;
+        world.nodes[k].service = HEALTHY;
       world_write_config ();
       world_run_until (cc_clock_now () + APPLIED);
       for (guint k = 0; k < NODES; k++)
@@ -447,14 +437,15 @@
 {
   const char *name;
   gboolean relayed;
-  gint64 granter_ms; /* its row is there so long after the start; 0: before */
-  gboolean lost;     /* the one that the row names does not answer */
-  gint64 whole_ms;   /* every copy is whole by then */
-  guint calls;       /* of one that reads for no others, by then; 0: any */
+  gint64 granter_ms; /* its row is written so long after the start; 0: before */
+  gboolean lost;     /* the granter that the row names does not answer */
+  gint64 whole_ms;   /* every copy is complete by then */
+  guint
+      calls; /* most calls by then of a node that is no first reader; 0: any */
 } Start;
 
-/* A copy is whole within the time for which a process waits for its peers, 1 s,
- * and an answer's way; where there is nobody to follow, within 1.5 s. */
+/* A copy is complete within the time for which a process waits for its peers,
+ * 1 s, and the transit of an answer; with no peer to follow, within 1.5 s. */
 static const Start starts[] = {
   { "a process is started again", FALSE, 0, FALSE, 300, 2 },
   { "... in a fleet with relays", TRUE, 0, FALSE, 700, 2 },
@@ -464,7 +455,7 @@
   { "... in a fleet with relays", TRUE, 0, TRUE, 1500, 0 },
 };
 
-#define RANGES 1200 /* rows of ranges, once a granter wrote some */
+#define RANGES 1200 /* rows of ranges in a fleet that has had a granter */
 
 static gboolean
 is_whole (const Node *n)
@@ -474,11 +465,11 @@
          cc_mirror_is_complete (n->mirror, CC_TABLE_STATE);
 }
 
-/* Load: all processes of a fleet start at one moment.  Guards against each of
- * them reading every table from the service, and against a start that waits
- * for one that is gone. */
+/* Load: all processes of a fleet start at the same time.  Guards against each
+ * of them reading every table from the service, and against a start that waits
+ * for a peer that no longer exists. */
 static void
-who_starts_has_its_rows_from_peers (void **state)
+a_starting_process_gets_its_rows_from_peers (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (starts); i++)
@@ -524,20 +515,21 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (a_copy_is_new_and_never_goes_back),
-    cmocka_unit_test (an_answer_that_was_late_is_no_younger_for_it),
-    cmocka_unit_test (a_late_answer_of_the_service_is_no_younger_for_it),
+    cmocka_unit_test (a_delayed_answer_counts_from_when_it_was_given),
+    cmocka_unit_test (
+        a_delayed_answer_of_the_service_counts_from_when_it_was_given),
     cmocka_unit_test (a_forgotten_history_hides_no_deletion),
     cmocka_unit_test (a_restarted_peer_hides_no_deletion),
-    cmocka_unit_test (worlds_that_once_failed),
-    cmocka_unit_test (a_world_with_one_turned_away_and_late_answers),
+    cmocka_unit_test (regression_seeds_pass),
+    cmocka_unit_test (one_rejected_node_with_late_answers),
     cmocka_unit_test (outages_of_one_that_is_cut_off_are_its_own),
-    cmocka_unit_test (one_watch_that_is_swallowed_makes_no_one_late),
+    cmocka_unit_test (one_dropped_watch_makes_no_copy_late),
     cmocka_unit_test (an_outage_ends_with_the_next_answer),
     cmocka_unit_test (an_old_copy_costs_its_followers_few_calls),
     cmocka_unit_test (an_outage_costs_leaves_few_calls),
     cmocka_unit_test (a_granter_that_answers_again_is_followed),
     cmocka_unit_test (own_writes_are_known_without_a_call),
-    cmocka_unit_test (who_starts_has_its_rows_from_peers),
+    cmocka_unit_test (a_starting_process_gets_its_rows_from_peers),
   };
 
   cmocka_set_test_filter (g_getenv ("TEST"));
