--- a/members.c
+++ b/members.c
@@ -1,11 +1,13 @@
-/* A process writes one row, unless it is there, and reads those of the others.
- * Rows of processes that ended stay.  A peer that does not answer is skipped
- * for a while, and bounds of the fleet are divided among more members than
- * there are, which only makes each share smaller.
+/* Membership of the fleet.  Each process registers itself by a row in STATE and
+ * reads the rows of the other members.  Rows of processes that have exited
+ * stay: a peer that does not answer is skipped for a while, and limits of the
+ * whole fleet are divided among more members than are running, which only makes
+ * each share smaller.
  *
- * A process follows the granter's copy of the rows (mirror.h).  In a large
- * fleet the relays of each zone do, and the rest of the zone follows them:
- * fewer requests to one process, and fewer bytes between zones. */
+ * A process follows the granter's copy of the tables (mirror.h).  In a large
+ * fleet only the relays of each zone follow the granter, and the other members
+ * of the zone follow a relay, which means fewer requests to one process and
+ * fewer bytes between zones. */
 #include "members.h"
 
 #include <json-glib/json-glib.h>
@@ -17,35 +19,36 @@
 
 #define MEMBER_PREFIX "member/"
 #define REGISTER_RETRY (500 * CC_MS)
-/* Processes from which on a zone has relays.  An answer takes 0.1 ms, and each
- * process makes three requests in two seconds. */
-#define LARGE_FLEET 24
-#define RELAYS 3          /* of each zone: two may be lost at once */
-#define RELAYS_LEAST 2    /* beside which weak processes are none */
-#define FOLLOWERS_MOST 40 /* of a relay, in the mean */
-#define WEAK_PART 0.5     /* of the cores of the one before: less is weak */
-#define FIRST_READERS 3   /* of the fleet */
-/* A relay that did not answer is skipped for so long, doubled each time. */
+/* Size of the fleet from which on zones have relays.  An answer takes 0.1 ms,
+ * and each process makes three requests in two seconds. */
+#define RELAY_FLEET_MIN 24
+#define RELAYS 3         /* in each zone; two may be lost at once */
+#define RELAYS_MIN 2     /* enough if all further candidates are weak */
+#define FOLLOWERS_MAX 40 /* of a relay, on average */
+#define WEAK_PART 0.5    /* with less of the next stronger's cores it is weak */
+#define FIRST_READERS 3  /* members that read all tables when they start */
+/* A relay that did not answer is skipped for this time, which doubles with each
+ * failure. */
 #define BACKOFF_MIN (1 * CC_SECOND)
 #define BACKOFF_MAX (30 * CC_SECOND)
-/* Rows drawn until one names another process. */
+/* Attempts to draw a member other than this process. */
 #define DRAWS 4
 
 typedef struct
 {
   char *address;
   char *zone;
-  double cores; /* processor that it may use; 0: not said */
-  guint place;  /* of its row among those of all */
-  guint nth;    /* how many of its zone are stronger */
+  double cores;    /* processor time that it may use, in cores; 0: unknown */
+  guint row_index; /* index of its row in the order of keys */
+  guint zone_rank; /* number of stronger members of its zone */
   gboolean is_self;
 } Member;
 
-/* One that did not answer. */
+/* A peer that did not answer. */
 typedef struct
 {
-  gint64 until; /* it is skipped, us */
-  gint64 span;  /* ... for so long, us */
+  gint64 until; /* it is skipped until then, us */
+  gint64 delay; /* duration of the current backoff, us */
 } Backoff;
 
 struct CcMembers
@@ -56,15 +59,16 @@
   char *zone;
   double cores;
   char **seeds;
-  GArray *list;        /* of Member: the strongest of each zone, the next ... */
-  char *granter;       /* address of the one that grants keys; NULL: none yet */
-  GPtrArray *relays;   /* addresses of its zone's relays, without its own */
-  gboolean falls_back; /* follows the granter if no relay answers */
-  GHashTable *backoffs; /* address to Backoff */
+  GArray *list;              /* of Member: the strongest of each zone, then the
+                                second strongest of each, and so on */
+  char *granter;             /* address of the granter; NULL: none yet */
+  GPtrArray *relays;         /* addresses of the other relays of its zone */
+  gboolean granter_fallback; /* follow the granter if no relay answers */
+  GHashTable *backoffs;      /* address to Backoff */
   gboolean is_relay;
-  guint rank;         /* of this process in LIST; its length: not in it */
-  guint64 newest;     /* version of the newest row in LIST */
-  gboolean registers; /* its row is written or is being written */
+  guint rank;     /* index of this process in LIST; the length: not in it */
+  guint64 newest; /* version of the newest member row */
+  gboolean registered; /* its row is written, or the write is pending */
   CcTimer registering;
 };
 
@@ -77,7 +81,8 @@
   g_free (m->zone);
 }
 
-/* The fleet as far as is known before any row was read. */
+/* Creates an empty fleet, to be filled by cc_members_update.  Takes over
+ * SETUP->seeds and copies the other strings. */
 CcMembers *
 cc_members_new (const CcMembersSetup *setup)
 {
@@ -96,7 +101,7 @@
   return m;
 }
 
-/* Frees M. */
+/* Frees M; no write of its row may be pending. */
 void
 cc_members_free (CcMembers *m)
 {
@@ -142,36 +147,36 @@
                           m->address, m->zone, cores);
 }
 
-/* Writes this process's row, and goes on trying until it is written. */
+/* Writes this process's row, and retries until it is written. */
 void
 cc_members_register (CcMembers *m)
 {
   CcTableChange *c = cc_table_change_new ();
   g_autofree char *value = own_value (m);
 
-  m->registers = TRUE;
+  m->registered = TRUE;
   cc_table_put (c, CC_TABLE_STATE, m->key, value);
   cc_table_commit (m->table, c, on_registered, m);
 }
 
-/* Registers by the rows of STATE, as they are read for the first time.
+/* Registers this process unless STATE already holds the same row.
  *
- * Load pattern: the whole fleet is killed and started again, and each process
- * writes the row that is there already. */
+ * Load pattern: the whole fleet is killed and restarted, and each process
+ * writes a row that exists already. */
 void
 cc_members_join (CcMembers *m, const CcView *state)
 {
   const CcRow *row = cc_view_get (state, m->key);
   g_autofree char *value = own_value (m);
 
-  if (m->registers)
+  if (m->registered)
     return;
   if (row == NULL || !g_str_equal (row->value, value))
     {
       cc_members_register (m);
       return;
     }
-  m->registers = TRUE;
+  m->registered = TRUE;
   cc_event (CC_EVENT_STATE, "already-registered", "row", m->key, "row_version",
             cc_event_int ((gint64) row->version), NULL);
 }
@@ -196,50 +201,52 @@
   };
 }
 
-/* By turns from each zone.  The first few of the order take over the lease when
- * its holder is lost, and a cut of one zone must not take all of them with it.
- */
+/* Orders members round-robin by zone, the strongest of each zone first.  The
+ * first few members in this order take over the lease when its holder is lost,
+ * and the loss of one zone must not remove all of them. */
 static gint
-by_turns (gconstpointer a, gconstpointer b)
+compare_by_zone_rank (gconstpointer a, gconstpointer b)
 {
   const Member *x = a, *y = b;
 
-  if (x->nth != y->nth)
-    return x->nth < y->nth ? -1 : 1;
+  if (x->zone_rank != y->zone_rank)
+    return x->zone_rank < y->zone_rank ? -1 : 1;
   if (x->cores != y->cores)
     return x->cores > y->cores ? -1 : 1;
-  return x->place < y->place ? -1 : 1;
+  return x->row_index < y->row_index ? -1 : 1;
 }
 
 static gint
-by_strength (gconstpointer a, gconstpointer b)
+compare_by_cores (gconstpointer a, gconstpointer b)
 {
   const Member *x = a, *y = b;
 
   if (x->cores != y->cores)
     return x->cores > y->cores ? -1 : 1;
-  return x->place < y->place ? -1 : 1;
+  return x->row_index < y->row_index ? -1 : 1;
 }
 
-/* Counts for each member of LIST, the strongest first, the stronger ones of its
- * zone. */
+/* Sets for each member of LIST, which is ordered by cores, the number of
+ * stronger members of its zone. */
 static void
-count_in_zones (GArray *list)
+assign_zone_ranks (GArray *list)
 {
   g_autoptr (GHashTable) counts = g_hash_table_new (g_str_hash, g_str_equal);
 
   for (guint i = 0; i < list->len; i++)
     {
-      Member *one = &g_array_index (list, Member, i);
+      Member *member = &g_array_index (list, Member, i);
 
-      /* A row that can't be read names nobody who could take over. */
-      if (one->address[0] == '\0')
+      /* A row that can't be parsed names no process that could take over. */
+      if (member->address[0] == '\0')
         {
-          one->nth = G_MAXUINT;
+          member->zone_rank = G_MAXUINT;
           continue;
         }
-      one->nth = GPOINTER_TO_UINT (g_hash_table_lookup (counts, one->zone));
-      g_hash_table_insert (counts, one->zone, GUINT_TO_POINTER (one->nth + 1));
+      member->zone_rank =
+          GPOINTER_TO_UINT (g_hash_table_lookup (counts, member->zone));
+      g_hash_table_insert (counts, member->zone,
+                           GUINT_TO_POINTER (member->zone_rank + 1));
     }
 }
 
@@ -249,7 +256,7 @@
   return g_strcmp0 (m->granter, address) == 0;
 }
 
-/* The members of this zone, the strongest first. */
+/* Returns the members of this zone (Member), the strongest first. */
 static GPtrArray *
 zone_members (const CcMembers *m)
 {
@@ -257,16 +264,16 @@
 
   for (guint i = 0; i < m->list->len; i++)
     {
-      Member *one = &g_array_index (m->list, Member, i);
+      Member *member = &g_array_index (m->list, Member, i);
 
-      if (g_str_equal (one->zone, m->zone))
-        g_ptr_array_add (found, one);
+      if (g_str_equal (member->zone, m->zone))
+        g_ptr_array_add (found, member);
     }
   return found;
 }
 
-/* Takes the granter out of MEMBERS, since it has the most to do already.
- * Returns its place there, or -1. */
+/* Removes the granter from MEMBERS, since it has the most work already.
+ * Returns its index there, or -1. */
 static gint
 remove_granter (const CcMembers *m, GPtrArray *members)
 {
@@ -279,15 +286,15 @@
   return -1;
 }
 
-/* How many of CANDIDATES are relays: RELAYS, or as few as RELAYS_LEAST if the
- * next one is much weaker than those; more in a zone of hundreds. */
+/* Returns how many of CANDIDATES become relays: RELAYS, or as few as RELAYS_MIN
+ * if the next candidate is much weaker; more in a zone of hundreds. */
 static guint
 count_relays (const GPtrArray *candidates)
 {
-  guint least = (candidates->len + FOLLOWERS_MOST) / (FOLLOWERS_MOST + 1);
-  guint count = MIN (candidates->len, MAX (RELAYS, least));
+  guint required = (candidates->len + FOLLOWERS_MAX) / (FOLLOWERS_MAX + 1);
+  guint count = MIN (candidates->len, MAX (RELAYS, required));
 
-  for (guint i = MAX (RELAYS_LEAST, least); i < count; i++)
+  for (guint i = MAX (RELAYS_MIN, required); i < count; i++)
     {
       const Member *before = candidates->pdata[i - 1];
 
@@ -298,26 +305,26 @@
   return count;
 }
 
-/* Chooses this zone's relays.  In a large fleet they are its strongest
- * processes beside the granter. */
+/* Chooses this zone's relays: in a large fleet, its strongest members except
+ * the granter; otherwise none. */
 static void
 choose_relays (CcMembers *m)
 {
   g_autoptr (GPtrArray) members = zone_members (m);
-  gint place = remove_granter (m, members);
-  guint count = m->list->len < LARGE_FLEET ? 0 : count_relays (members);
+  gint granter_index = remove_granter (m, members);
+  guint count = m->list->len < RELAY_FLEET_MIN ? 0 : count_relays (members);
 
   g_ptr_array_set_size (m->relays, 0);
   m->is_relay = FALSE;
-  m->falls_back = place >= 0 && place < RELAYS;
+  m->granter_fallback = granter_index >= 0 && granter_index < RELAYS;
   for (guint i = 0; i < count; i++)
     {
-      const Member *one = members->pdata[i];
+      const Member *member = members->pdata[i];
 
-      if (one->is_self)
+      if (member->is_self)
         m->is_relay = TRUE;
       else
-        g_ptr_array_add (m->relays, g_strdup (one->address));
+        g_ptr_array_add (m->relays, g_strdup (member->address));
     }
 }
 
@@ -338,22 +345,22 @@
   m->rank = rows->len;
   for (guint i = 0; i < rows->len; i++)
     {
-      Member one = read_member (rows->pdata[i]);
+      Member member = read_member (rows->pdata[i]);
 
-      one.place = i;
-      one.is_self = g_str_equal (((CcRow *) rows->pdata[i])->key, m->key);
-      g_array_append_val (m->list, one);
+      member.row_index = i;
+      member.is_self = g_str_equal (((CcRow *) rows->pdata[i])->key, m->key);
+      g_array_append_val (m->list, member);
     }
-  g_array_sort (m->list, by_strength);
-  count_in_zones (m->list);
-  g_array_sort (m->list, by_turns);
+  g_array_sort (m->list, compare_by_cores);
+  assign_zone_ranks (m->list);
+  g_array_sort (m->list, compare_by_zone_rank);
   for (guint i = 0; i < m->list->len; i++)
     if (g_array_index (m->list, Member, i).is_self)
       m->rank = i;
 }
 
-/* Whether the row KEY of STATE is one that cc_members_update reads.  Most
- * changes there are of ranges of keys. */
+/* Returns TRUE if cc_members_update reads the row KEY of STATE.  Most changes
+ * in STATE concern key ranges and can be skipped. */
 gboolean
 cc_members_reads_row (const char *key)
 {
@@ -361,8 +368,8 @@
          g_str_equal (key, CC_GRANTER_KEY);
 }
 
-/* Reads the fleet from the rows of STATE.  Members are read anew only if one of
- * them has changed. */
+/* Updates the fleet from the rows of STATE.  Members are parsed again only if a
+ * member row has changed. */
 void
 cc_members_update (CcMembers *m, const CcView *state)
 {
@@ -382,14 +389,15 @@
   choose_relays (m);
 }
 
-/* How many processes ever registered. */
+/* Returns how many processes have ever registered. */
 guint
 cc_members_count (const CcMembers *m)
 {
   return m->list->len;
 }
 
-/* This process's place in the order that all processes see. */
+/* Returns this process's index in the order of members, which is the same at
+ * all processes with the same rows. */
 guint
 cc_members_rank (const CcMembers *m)
 {
@@ -402,33 +410,33 @@
   return is_granter_at (m, m->address);
 }
 
-/* Whether others follow this process's copy of the rows. */
+/* Returns TRUE if peers follow this process's copy of the tables. */
 gboolean
 cc_members_is_followed (const CcMembers *m)
 {
   return m->is_relay || is_granter (m);
 }
 
-/* Whether it is one of its zone's relays. */
+/* Returns TRUE if this process is a relay of its zone. */
 gboolean
 cc_members_is_relay (const CcMembers *m)
 {
   return m->is_relay;
 }
 
-/* Whether this process reads all rows itself when it starts: the one that
- * grants keys, those that would take over from it, and relays.
+/* Returns TRUE if this process reads all tables from the service when it
+ * starts: the granter, those that would take over from it, and relays.
  *
- * Load pattern: the whole fleet is started again, and its granter is a weak
- * process, whose link bears the rows of one relay after the other. */
+ * Load pattern: the whole fleet is restarted, its granter is a weak process,
+ * and the granter's link would carry the rows for one relay after the other. */
 gboolean
 cc_members_reads_all (const CcMembers *m)
 {
   return cc_members_is_followed (m) || m->rank < FIRST_READERS;
 }
 
-/* How many processes the rows pass on their way to this one: 0 at the granter,
- * 1 at who follows it, 2 at who follows a relay. */
+/* Returns the number of hops from the granter's copy to this process's: 0 at
+ * the granter, 1 at its followers, 2 at the followers of a relay. */
 guint
 cc_members_distance (const CcMembers *m)
 {
@@ -437,72 +445,76 @@
   return m->relays->len == 0 || m->is_relay ? 1 : 2;
 }
 
-/* Any other process of the fleet; a seed, while none is known. */
+/* Returns the address of a random other member, or of a random seed if none was
+ * drawn; NULL if there is no seed either. */
 static char *
-any_peer (const CcMembers *m)
+random_peer (const CcMembers *m)
 {
   guint seeds = g_strv_length (m->seeds);
 
   for (guint i = 0; m->list->len > 0 && i < DRAWS; i++)
     {
       gint32 drawn = g_random_int_range (0, (gint32) m->list->len);
-      const Member *one = &g_array_index (m->list, Member, drawn);
+      const Member *member = &g_array_index (m->list, Member, drawn);
 
-      if (one->address[0] != '\0' && !g_str_equal (one->address, m->address))
-        return g_strdup (one->address);
+      if (member->address[0] != '\0' &&
+          !g_str_equal (member->address, m->address))
+        return g_strdup (member->address);
     }
   return seeds > 0 && m->seeds[0][0] != '\0'
              ? g_strdup (m->seeds[g_random_int_range (0, (gint32) seeds)])
              : NULL;
 }
 
-/* The one at ADDRESS, which was asked, has ANSWERED or not.
+/* Records whether the followed peer at ADDRESS ANSWERED a request.
  *
- * Failure: a relay is gone for good, and its row stays.  Symptom: those that
- * follow the relays of its zone draw it again and again, wait for it in vain,
- * and ask the table in its place. */
+ * Failure: a relay has exited for good, and its row stays.  Symptom: the
+ * followers of its zone's relays keep drawing it, time out, and query the table
+ * service instead. */
 void
 cc_members_peer_result (CcMembers *m, const char *address, gboolean answered)
 {
-  Backoff *s = g_hash_table_lookup (m->backoffs, address);
+  Backoff *backoff = g_hash_table_lookup (m->backoffs, address);
 
   if (answered)
     {
-      if (s != NULL)
+      if (backoff != NULL)
         g_hash_table_remove (m->backoffs, address);
       return;
     }
-  if (s == NULL)
+  if (backoff == NULL)
     {
-      s = g_new0 (Backoff, 1);
-      g_hash_table_insert (m->backoffs, g_strdup (address), s);
+      backoff = g_new0 (Backoff, 1);
+      g_hash_table_insert (m->backoffs, g_strdup (address), backoff);
     }
-  s->span = CLAMP (2 * s->span, BACKOFF_MIN, BACKOFF_MAX);
-  s->until = cc_clock_now () + s->span;
+  backoff->delay = CLAMP (2 * backoff->delay, BACKOFF_MIN, BACKOFF_MAX);
+  backoff->until = cc_clock_now () + backoff->delay;
 }
 
 static gboolean
 is_backed_off (const CcMembers *m, const char *address)
 {
-  const Backoff *s = g_hash_table_lookup (m->backoffs, address);
+  const Backoff *backoff = g_hash_table_lookup (m->backoffs, address);
 
-  return s != NULL && cc_clock_now () < s->until;
+  return backoff != NULL && cc_clock_now () < backoff->until;
 }
 
-/* One of the relays, of those that answer if there are any; the granter, if it
- * is among the strongest of this zone and no relay answers. */
+/* Returns the address of a random relay that is not backed off.  If there is
+ * none, returns the granter's, if that is among the strongest of this zone and
+ * not backed off, or else that of any relay. */
 static char *
-any_relay (const CcMembers *m)
+random_relay (const CcMembers *m)
 {
-  g_autoptr (GPtrArray) answering = g_ptr_array_new ();
-  const GPtrArray *from = answering;
+  g_autoptr (GPtrArray) reachable = g_ptr_array_new ();
+  const GPtrArray *from = reachable;
 
   for (guint i = 0; i < m->relays->len; i++)
     if (!is_backed_off (m, m->relays->pdata[i]))
-      g_ptr_array_add (answering, m->relays->pdata[i]);
-  if (answering->len == 0 && m->falls_back && !is_backed_off (m, m->granter))
+      g_ptr_array_add (reachable, m->relays->pdata[i]);
+  if (reachable->len == 0 && m->granter_fallback &&
+      !is_backed_off (m, m->granter))
     return g_strdup (m->granter);
-  if (answering->len == 0)
+  if (reachable->len == 0)
     from = m->relays;
   return g_strdup (from->pdata[g_random_int_range (0, (gint32) from->len)]);
 }
@@ -514,25 +526,25 @@
     return NULL;
   if (m->relays->len == 0 || m->is_relay)
     return g_strdup (m->granter);
-  return any_relay (m);
+  return random_relay (m);
 }
 
-/* The address of a process to ask, or NULL; the caller frees it. */
+/* Returns the address of a peer of KIND, or NULL; the caller frees it. */
 char *
 cc_members_peer (const CcMembers *m, CcPeerKind kind)
 {
   switch (kind)
     {
     case CC_PEER_ANY:
-      return any_peer (m);
+      return random_peer (m);
     case CC_PEER_FOLLOWED:
       return followed (m);
     }
   return NULL;
 }
 
-/* Where this process sends its reports of load, or NULL; the caller frees it.
- * The granter sends them to itself. */
+/* Returns the address to which this process sends its load reports, or NULL;
+ * the caller frees it.  The granter sends them to itself. */
 char *
 cc_members_report_address (const CcMembers *m)
 {
--- a/members.h
+++ b/members.h
@@ -1,4 +1,5 @@
-/* The processes of the fleet, each of which registers itself by a row. */
+/* Membership of the fleet: which processes exist, which of them are relays, and
+ * which peer this process follows. */
 #ifndef CC_MEMBERS_H
 #define CC_MEMBERS_H
 
@@ -7,8 +8,9 @@
 
 typedef struct CcMembers CcMembers;
 
-/* The rows of STATE that cc_members_update reads lie from the one key on and
- * before the other, which is behind all that begin with "member/". */
+/* Key range of the rows of STATE that cc_members_update reads: the first key,
+ * and the first key after the range, which sorts after all that begin with
+ * "member/". */
 #define CC_MEMBERS_FROM CC_GRANTER_KEY
 #define CC_MEMBERS_TO "member0"
 
@@ -16,10 +18,11 @@
 {
   CcTable *table;
   const char *instance;
-  const char *address; /* of this process, for peers */
+  const char *address; /* at which this process serves its peers, IP:PORT */
   const char *zone;
-  double cores; /* processor that this process may use, in cores */
-  char **seeds; /* addresses to ask while none is known; taken over */
+  double cores; /* processor time that this process may use, in cores */
+  char **seeds; /* addresses of peers to use while no member is known;
+                          cc_members_new takes them over */
 } CcMembersSetup;
 
 CcMembers *cc_members_new (const CcMembersSetup *setup);
--- a/test/test_members.c
+++ b/test/test_members.c
@@ -1,5 +1,6 @@
-/* The fleet by its rows: who counts, whose copy is followed by whom, and who is
- * asked when the table can't be. */
+/* Guards against a fleet that is derived wrongly from its members' rows: the
+ * relays, the peer that a process follows or sends its load reports to, and the
+ * peer that it polls when the table service is unreachable. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,32 +12,32 @@
 #include "clock.h"
 #include "members.h"
 
-#define OWN 4 /* this process among those of its world */
+#define OWN 4 /* index of this process among the members */
 #define NONE 99
 
 typedef struct
 {
   const char *name;
-  guint members;       /* by turns in zones a and b */
+  guint members;       /* alternately in zones a and b */
   gboolean listed;     /* this process has a row */
-  gboolean damaged;    /* the row of member 1 can't be read */
+  gboolean damaged;    /* the row of member 1 can't be parsed */
   guint strong;        /* members from this one on have more cores */
-  guint granter;       /* the member that grants keys; NONE: nobody yet */
-  gboolean followed;   /* others follow this process */
-  const char *follows; /* NULL: nobody */
-  const char *reports; /* to whom it reports load; NULL: to nobody */
-  gboolean relays;     /* ... and adds what others report */
+  guint granter;       /* index of the granter; NONE: there is none yet */
+  gboolean followed;   /* peers follow this process */
+  const char *follows; /* address of the followed peer; NULL: none */
+  const char *reports; /* address to which it reports load; NULL: none */
+  gboolean relays;     /* it is a relay, which sums up reports of others */
   guint distance;
   guint rank;
 } Case;
 
 static const Case cases[] = {
   { "none known", 0, FALSE, FALSE, NONE, NONE, FALSE, NULL, NULL, FALSE, 1, 0 },
-  { "nobody grants yet", 11, TRUE, FALSE, NONE, NONE, FALSE, NULL, NULL, FALSE,
-    1, OWN },
+  { "there is no granter yet", 11, TRUE, FALSE, NONE, NONE, FALSE, NULL, NULL,
+    FALSE, 1, OWN },
   { "a small fleet follows the granter", 11, TRUE, FALSE, NONE, 7, FALSE,
     "10.0.0.7:1", "10.0.0.7:1", FALSE, 1, OWN },
-  { "the granter follows nobody", 11, TRUE, FALSE, NONE, OWN, TRUE, NULL,
+  { "the granter follows no peer", 11, TRUE, FALSE, NONE, OWN, TRUE, NULL,
     "10.0.0.4:1", FALSE, 0, OWN },
   { "the granter of a large fleet is no relay", 30, TRUE, FALSE, NONE, OWN,
     TRUE, NULL, "10.0.0.4:1", FALSE, 0, OWN },
@@ -48,7 +49,7 @@
     "10.0.0.7:1", TRUE, 1, 0 },
   { "one that is not listed yet follows a relay of its zone", 30, FALSE, FALSE,
     NONE, 7, FALSE, "10.0.0.", "10.0.0.", FALSE, 2, 29 },
-  { "a damaged row is passed over", 30, TRUE, TRUE, NONE, 7, TRUE, "10.0.0.7:1",
+  { "a damaged row is skipped", 30, TRUE, TRUE, NONE, 7, TRUE, "10.0.0.7:1",
     "10.0.0.7:1", TRUE, 1, OWN },
 };
 
@@ -112,7 +113,7 @@
 }
 
 /* Load: ranges of keys change all the time.  Guards against each change making
- * every process read all members anew. */
+ * every process parse all member rows again. */
 static void
 only_rows_of_members_are_read (void **state)
 {
@@ -130,7 +131,7 @@
     {
       if (cc_members_reads_row (rows[i].key) != rows[i].read)
         fail_msg ("%s", rows[i].key);
-      /* All of them lie in what a process reads first. */
+      /* All of them lie in the key range that a process reads first. */
       assert_true (!rows[i].read ||
                    (strcmp (rows[i].key, CC_MEMBERS_FROM) >= 0 &&
                     strcmp (rows[i].key, CC_MEMBERS_TO) < 0));
@@ -140,16 +141,16 @@
 typedef struct
 {
   const char *name;
-  const char *row; /* of this process as it starts; NULL: none */
+  const char *row; /* of this process when it starts; NULL: none */
   guint writes;
 } Join;
 
 #define OWN_ROW "{\"address\":\"10.0.0.4:1\",\"zone\":\"a\",\"cores\":0.100}"
 
 static const Join joins[] = {
-  { "it was never there", NULL, 1 },
-  { "it is started again", OWN_ROW, 0 },
-  { "it has another address now",
+  { "it is new", NULL, 1 },
+  { "it is restarted", OWN_ROW, 0 },
+  { "its address has changed",
     "{\"address\":\"10.0.0.5:1\",\"zone\":\"a\",\"cores\":0.100}", 1 },
 };
 
@@ -180,10 +181,10 @@
   done (CC_OK, 2, data);
 }
 
-/* Load: a whole fleet is started again.  Guards against each process writing
- * the row that is there. */
+/* Load: a whole fleet is restarted.  Guards against each process writing a row
+ * that exists already. */
 static void
-who_starts_again_writes_no_row (void **state)
+a_restarted_process_writes_no_row (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (joins); i++)
@@ -209,9 +210,9 @@
     }
 }
 
-/* A zone is cut off, and the granter with it.  The first few of the order are
- * to take over its lease: they must not all be in that zone, however the
- * processes are named and however strong they are. */
+/* Failure: a zone is cut off, and the granter with it.  Guards against
+ * candidates for its lease, the first few in the order, that are all in that
+ * zone, whatever their names and cores. */
 static void
 the_first_of_the_order_are_of_different_zones (void **state)
 {
@@ -249,7 +250,7 @@
   assert_int_equal (ranks[1], 3);
 }
 
-/* How often of DRAWS_MADE times M follows each of the members 0, 1 and 2. */
+/* Counts in DRAWN how often in DRAWS_MADE draws M follows member 0, 1 and 2. */
 #define DRAWS_MADE 300
 
 static void
@@ -264,11 +265,11 @@
     }
 }
 
-/* Load: a relay is removed for good and its row stays.  Guards against asking
- * it for one answer in three, and against following nobody when no relay
+/* Failure: a relay is removed for good and its row stays.  Guards against
+ * sending it one request in three, and against following no peer when no relay
  * answers. */
 static void
-a_relay_that_does_not_answer_is_passed_over (void **state)
+a_relay_that_does_not_answer_is_skipped (void **state)
 {
   CcMembersSetup setup = { .instance = "i090",
                            .address = "10.0.0.90:1",
@@ -322,53 +323,78 @@
   cc_clock_resume ();
 }
 
-#define SILENT_MOST 3
+#define UNANSWERED_MAX 3
 
 typedef struct
 {
   const char *name;
   guint members; /* of the fleet */
-  guint in_zone; /* the first of them are of this process's zone */
-  guint strong;  /* the first of them have more cores */
+  guint in_zone; /* this many, from the first, are in this process's zone */
+  guint strong;  /* this many, from the first, have more cores */
   guint granter;
-  guint silent[SILENT_MOST + 1]; /* did not answer; NONE ends them */
-  const char *followed;          /* members, in order */
+  guint unanswered[UNANSWERED_MAX +
+                   1];  /* members that did not answer; ends with NONE */
+  const char *followed; /* expected members, in order */
 } RelayCase;
 
 static const RelayCase relay_cases[] = {
-  { "the granter is of another zone", 30, 20, 3, 25, { NONE }, "0 1 2" },
-  { "the granter is a weak one", 30, 20, 3, 7, { NONE }, "0 1 2" },
-  { "the two strong ones beside the granter", 30, 20, 3, 1, { NONE }, "0 2" },
-  { "three strong ones beside it", 30, 20, 4, 0, { NONE }, "1 2 3" },
-  { "one strong one beside it", 30, 20, 2, 0, { NONE }, "1 2 3" },
+  { "the granter is in another zone", 30, 20, 3, 25, { NONE }, "0 1 2" },
+  { "the granter is weak", 30, 20, 3, 7, { NONE }, "0 1 2" },
+  { "two strong members beside the granter", 30, 20, 3, 1, { NONE }, "0 2" },
+  { "three strong members beside it", 30, 20, 4, 0, { NONE }, "1 2 3" },
+  { "one strong member beside it", 30, 20, 2, 0, { NONE }, "1 2 3" },
   { "none beside it", 30, 20, 1, 0, { NONE }, "1 2 3" },
-  { "all are alike", 30, 20, 0, 0, { NONE }, "1 2 3" },
-  { "one weak one beside it", 30, 2, 1, 0, { NONE }, "1" },
-  { "nobody beside it", 30, 1, 1, 0, { NONE }, "0" },
-  { "a weaker granter of a zone of two, and the other is silent",
+  { "all have the same cores", 30, 20, 0, 0, { NONE }, "1 2 3" },
+  { "one weak member beside it", 30, 2, 1, 0, { NONE }, "1" },
+  { "no member beside it", 30, 1, 1, 0, { NONE }, "0" },
+  { "a weaker granter in a zone of two, and the other does not answer",
     30,
     2,
     1,
     1,
     { 0, NONE },
     "1" },
-  { "no more while two serve them all", 90, 81, 3, 85, { NONE }, "0 1 2" },
-  { "as many as two serve, beside the granter", 90, 83, 3, 1, { NONE }, "0 2" },
-  { "one more, which takes a weak one", 90, 84, 3, 1, { NONE }, "0 2 3" },
+  { "no third relay while two serve all", 90, 81, 3, 85, { NONE }, "0 1 2" },
+  { "as many as two can serve, beside the granter",
+    90,
+    83,
+    3,
+    1,
+    { NONE },
+    "0 2" },
+  { "one member more, for which a weak relay is added",
+    90,
+    84,
+    3,
+    1,
+    { NONE },
+    "0 2 3" },
   { "a zone of 200", 900, 200, 3, 300, { NONE }, "0 1 2 3 4" },
   { "a zone of 200 with the granter", 900, 200, 3, 0, { NONE }, "1 2 3 4 5" },
   { "a small fleet", 11, 11, 3, 1, { NONE }, "1" },
-  { "one relay is silent", 30, 20, 3, 1, { 0, NONE }, "2" },
-  { "both are, and the granter is left", 30, 20, 3, 1, { 0, 2, NONE }, "1" },
-  { "it is silent as well", 30, 20, 3, 1, { 0, 1, 2, NONE }, "0 2" },
-  { "all are, and the granter is a weak one",
+  { "one relay does not answer", 30, 20, 3, 1, { 0, NONE }, "2" },
+  { "neither relay answers, and the granter is left",
+    30,
+    20,
+    3,
+    1,
+    { 0, 2, NONE },
+    "1" },
+  { "the granter does not answer either",
+    30,
+    20,
+    3,
+    1,
+    { 0, 1, 2, NONE },
+    "0 2" },
+  { "no relay answers, and the granter is weak",
     30,
     20,
     3,
     7,
     { 0, 1, 2, NONE },
     "0 1 2" },
-  { "all relays of another zone are",
+  { "no relay answers, and the granter is in another zone",
     30,
     20,
     3,
@@ -394,7 +420,7 @@
   cc_view_put (v, CC_GRANTER_KEY, 1000 + c->granter, granter);
 }
 
-/* The members that M follows by many draws, in order. */
+/* Returns the members that M follows in DRAWS_MADE draws, in order. */
 static char *
 drawn_members (const CcMembers *m)
 {
@@ -422,9 +448,10 @@
   cc_view_init (&v);
   put_fleet (&v, c);
   cc_members_update (m, &v);
-  for (guint i = 0; c->silent[i] != NONE; i++)
+  for (guint i = 0; c->unanswered[i] != NONE; i++)
     {
-      g_autofree char *address = g_strdup_printf ("10.0.0.%u:1", c->silent[i]);
+      g_autofree char *address =
+          g_strdup_printf ("10.0.0.%u:1", c->unanswered[i]);
 
       cc_members_peer_result (m, address, FALSE);
     }
@@ -434,8 +461,9 @@
   cc_view_clear (&v);
 }
 
-/* Load: a fleet of hundreds.  Guards against the granter relaying to its zone
- * beside granting, and against a zone without relays because of that. */
+/* Load: a fleet of hundreds.  Guards against a granter that is a relay of its
+ * zone as well, and against a zone that lacks relays because the granter is
+ * excluded. */
 static void
 the_granter_does_not_relay (void **state)
 {
@@ -455,8 +483,8 @@
   cc_clock_resume ();
 }
 
-/* Failure: the granter is lost and another takes over.  Guards against relays
- * that stay those of the granter of before. */
+/* Failure: the granter is lost and another process takes over.  Guards against
+ * relays that are still chosen for the previous granter. */
 static void
 relays_change_with_the_granter (void **state)
 {
@@ -482,10 +510,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (the_fleet_is_what_its_rows_say),
-    cmocka_unit_test (who_starts_again_writes_no_row),
+    cmocka_unit_test (a_restarted_process_writes_no_row),
     cmocka_unit_test (only_rows_of_members_are_read),
     cmocka_unit_test (the_first_of_the_order_are_of_different_zones),
-    cmocka_unit_test (a_relay_that_does_not_answer_is_passed_over),
+    cmocka_unit_test (a_relay_that_does_not_answer_is_skipped),
     cmocka_unit_test (the_granter_does_not_relay),
     cmocka_unit_test (relays_change_with_the_granter),
   };
