--- a/peer_server.c
+++ b/peer_server.c
@@ -1,6 +1,7 @@
-/* A peer says which versions it has and how long it will wait.  It is answered
- * at once if there is anything newer, else as soon as there is, else with
- * nothing when its wait is over; every answer says how old this copy is. */
+/* Long polling for peers.  A request gives the versions that the peer has and
+ * how long it will wait.  It is answered at once if this copy has anything
+ * newer, otherwise on the next update, or without rows when the wait is over.
+ * Every answer contains the age of this copy. */
 #include "peer_server.h"
 
 #include <string.h>
@@ -13,22 +14,22 @@
 {
   SoupServer *server;
   CcMirror *mirror;
-  GPtrArray *askers; /* of Asker */
+  GPtrArray *waiters; /* of Waiter */
 };
 
-/* A peer that waits for news. */
+/* A pending request of a peer. */
 typedef struct
 {
   CcPeerServer *server;
   SoupServerMessage *message;
   guint64 since[CC_MIRROR_VERSIONS];
-  gint64 came; /* us */
+  gint64 arrived_at; /* when the request arrived, us */
   CcTimer timer;
-} Asker;
+} Waiter;
 
 static void
-answer (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
-        gint64 held)
+send_answer (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
+             gint64 held)
 {
   g_autoptr (GBytes) rows = cc_mirror_rows_since (p->mirror, since, held);
 
@@ -38,31 +39,32 @@
 }
 
 static void
-answer_asker (gpointer data)
+answer_waiter (gpointer data)
 {
-  Asker *a = data;
-
-  cc_timer_stop (&a->timer);
-  g_ptr_array_remove_fast (a->server->askers, a);
-  answer (a->server, a->message, a->since, cc_clock_now () - a->came);
-  soup_server_message_unpause (a->message);
-  g_object_unref (a->message);
-  g_free (a);
+  Waiter *w = data;
+
+  cc_timer_stop (&w->timer);
+  g_ptr_array_remove_fast (w->server->waiters, w);
+  send_answer (w->server, w->message, w->since,
+               cc_clock_now () - w->arrived_at);
+  soup_server_message_unpause (w->message);
+  g_object_unref (w->message);
+  g_free (w);
 }
 
 static void
-wait_for_news (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
-               gint64 wait)
+add_waiter (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
+            gint64 wait)
 {
-  Asker *a = g_new0 (Asker, 1);
+  Waiter *w = g_new0 (Waiter, 1);
 
-  a->server = p;
-  a->message = g_object_ref (m);
-  a->came = cc_clock_now ();
-  memcpy (a->since, since, sizeof a->since);
+  w->server = p;
+  w->message = g_object_ref (m);
+  w->arrived_at = cc_clock_now ();
+  memcpy (w->since, since, sizeof w->since);
   soup_server_message_pause (m);
-  g_ptr_array_add (p->askers, a);
-  cc_timer_start (&a->timer, wait, answer_asker, a);
+  g_ptr_array_add (p->waiters, w);
+  cc_timer_start (&w->timer, wait, answer_waiter, w);
 }
 
 static const char *
@@ -74,8 +76,8 @@
 }
 
 static void
-on_asked (SoupServer *server, SoupServerMessage *m, const char *path,
-          GHashTable *query, gpointer data)
+on_request (SoupServer *server, SoupServerMessage *m, const char *path,
+            GHashTable *query, gpointer data)
 {
   CcPeerServer *p = data;
   guint64 since[CC_MIRROR_VERSIONS] = { 0 };
@@ -86,35 +88,35 @@
   for (guint i = 0; i < CC_MIRROR_VERSIONS && parts[i] != NULL; i++)
     since[i] = g_ascii_strtoull (parts[i], NULL, 10);
   if (wait <= 0 || cc_mirror_has_updates (p->mirror, since))
-    answer (p, m, since, 0);
+    send_answer (p, m, since, 0);
   else
-    wait_for_news (p, m, since, wait);
+    add_waiter (p, m, since, wait);
 }
 
-/* Answers peers at ADDRESS (IP:PORT) from MIRROR.  NULL with *MESSAGE, to be
- * freed, if it can't listen there. */
+/* Serves the copy of MIRROR to peers at ADDRESS (IP:PORT).  Returns NULL, with
+ * *MESSAGE to be freed by the caller, if it can't listen there. */
 CcPeerServer *
 cc_peer_server_new (CcMirror *mirror, const char *address, char **message)
 {
   CcPeerServer *p = g_new0 (CcPeerServer, 1);
 
   p->mirror = mirror;
-  p->askers = g_ptr_array_new ();
+  p->waiters = g_ptr_array_new ();
   p->server = soup_server_new (NULL, NULL);
-  soup_server_add_handler (p->server, CC_MIRROR_PATH, on_asked, p, NULL);
+  soup_server_add_handler (p->server, CC_MIRROR_PATH, on_request, p, NULL);
   return cc_http_listen (p->server, address, message) ? p : NULL;
 }
 
-/* The mirror has changed: answers the peers that wait for it.  P may be NULL,
- * before it listens. */
+/* Answers the pending requests of peers for which the mirror has an update;
+ * called after each change of the mirror.  P may be NULL before it listens. */
 void
 cc_peer_server_notify (CcPeerServer *p)
 {
-  for (guint i = p != NULL ? p->askers->len : 0; i > 0; i--)
+  for (guint i = p != NULL ? p->waiters->len : 0; i > 0; i--)
     {
-      Asker *a = p->askers->pdata[i - 1];
+      Waiter *w = p->waiters->pdata[i - 1];
 
-      if (cc_mirror_has_updates (p->mirror, a->since))
-        answer_asker (a);
+      if (cc_mirror_has_updates (p->mirror, w->since))
+        answer_waiter (w);
     }
 }
--- a/peer_server.h
+++ b/peer_server.h
@@ -1,4 +1,4 @@
-/* Answers peers that go by this process's copy of the rows. */
+/* Serves this process's copy of the tables to the peers that follow it. */
 #ifndef CC_PEER_SERVER_H
 #define CC_PEER_SERVER_H
 
