--- a/row_codec.c
+++ b/row_codec.c
@@ -1,23 +1,25 @@
-/* Large values are compressed on their way between processes.
+/* Encodes rows for peers, with large values compressed.
  *
  * Load pattern: a configuration of thousands of routes, half a megabyte of
- * JSON, changes, and each process of a fleet has it from a relay at the same
- * moment, over links of ten megabits a second that carry requests as well.  A
- * relay compresses it once for all of its followers. */
+ * JSON, changes, and all followers of a relay fetch it at the same time over
+ * links of ten megabits a second that also carry requests.  The compressed
+ * value is cached in its row, so a relay compresses it once for all of its
+ * followers. */
 #include "row_codec.h"
 
 #include <gio/gio.h>
 #include <string.h>
 
-#define DEFLATE_LEAST 4096 /* bytes; smaller values fit into a few segments */
+#define DEFLATE_MIN 4096 /* bytes; smaller values fit into a few TCP segments  \
+                          */
 #define DEFLATE_LEVEL 1
-#define VALUE_MAX ((gsize) 4 * 1024 * 1024) /* bytes of one row */
+#define VALUE_MAX ((gsize) 4 * 1024 * 1024) /* bytes of one row's value */
 #define CHUNK 32768                         /* bytes */
 
-/* What CONVERTER makes of SIZE bytes at AT; NULL: they are damaged, or it would
- * be larger than VALUE_MAX. */
+/* Returns the output of CONVERTER for SIZE bytes at AT, or NULL if the input is
+ * damaged or the output would be larger than VALUE_MAX. */
 static GByteArray *
-convert_all (GConverter *converter, const char *at, gsize size)
+convert_buffer (GConverter *converter, const char *at, gsize size)
 {
   g_autoptr (GByteArray) out = g_byte_array_new ();
   guint8 chunk[CHUNK];
@@ -44,18 +46,19 @@
 {
   g_autoptr (GZlibCompressor) z =
       g_zlib_compressor_new (G_ZLIB_COMPRESSOR_FORMAT_ZLIB, DEFLATE_LEVEL);
-  GByteArray *out = convert_all (G_CONVERTER (z), value, size);
+  GByteArray *out = convert_buffer (G_CONVERTER (z), value, size);
 
   return out != NULL ? g_byte_array_free_to_bytes (out) : NULL;
 }
 
-/* The value in SIZE deflated bytes at AT; NULL if they are damaged. */
+/* Returns the value, terminated by NUL, of SIZE deflated bytes at AT; NULL if
+ * they are damaged or contain a NUL. */
 static char *
 inflate_value (const char *at, gsize size)
 {
   g_autoptr (GZlibDecompressor) z =
       g_zlib_decompressor_new (G_ZLIB_COMPRESSOR_FORMAT_ZLIB);
-  GByteArray *out = convert_all (G_CONVERTER (z), at, size);
+  GByteArray *out = convert_buffer (G_CONVERTER (z), at, size);
 
   if (out == NULL)
     return NULL;
@@ -75,7 +78,7 @@
   gsize size = strlen (value);
   GVariant *bytes;
 
-  if (size >= DEFLATE_LEAST && row->deflated == NULL)
+  if (size >= DEFLATE_MIN && row->deflated == NULL)
     row->deflated = deflate_value (value, size);
   if (row->deflated != NULL)
     bytes = g_variant_new_from_bytes (G_VARIANT_TYPE_BYTESTRING, row->deflated,
@@ -86,8 +89,8 @@
                          row->deflated != NULL, bytes);
 }
 
-/* The rows of V that were written after version SINCE, deleted ones too, as
- * CC_ROWS_TYPE, the oldest first.  The result is floating. */
+/* Encodes the rows of V that were written after version SINCE, including
+ * deleted ones, as CC_ROWS_TYPE, the oldest first.  The result is floating. */
 GVariant *
 cc_rows_encode (const CcView *v, guint64 since)
 {
@@ -111,8 +114,8 @@
   return size > 0 ? g_strndup (at, size) : g_strdup ("");
 }
 
-/* The rows in ENCODED, of CC_ROWS_TYPE, as a(sts) of key, version and value
- * ("": deleted); NULL if one of them is damaged.  The result is floating. */
+/* Decodes ENCODED, of CC_ROWS_TYPE, to a(sts) of key, version and value ("":
+ * deleted).  Returns NULL if any row is damaged.  The result is floating. */
 GVariant *
 cc_rows_decode (GVariant *encoded)
 {
--- a/test/test_row_codec.c
+++ b/test/test_row_codec.c
@@ -1,4 +1,5 @@
-/* Rows come out as they went in, large and small, and damaged ones do not. */
+/* Guards against rows that change when they are encoded and decoded, and
+ * against damaged rows that are accepted. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -12,16 +13,16 @@
 typedef struct
 {
   const char *name;
-  const char *unit; /* the value is this, COUNT times; NULL: deleted */
+  const char *unit; /* the value is UNIT, COUNT times; NULL: deleted */
   guint count;
-  gsize most; /* bytes of the encoded row */
+  gsize most; /* bytes of the encoded row at most */
 } Case;
 
 static const Case cases[] = {
   { "deleted", NULL, 0, 100 },
   { "small", "{\"version\":1}", 1, 100 },
-  { "just below what is compressed", "x", 4095, 4200 },
-  { "just compressed", "x", 4096, 300 },
+  { "largest that is not compressed", "x", 4095, 4200 },
+  { "smallest that is compressed", "x", 4096, 300 },
   { "half a megabyte of routes",
     "\"r-17\":{\"host\":\"a.example\",\"prefix\":\"/p/\",\"kind\":\"safe\"},",
     8000, 50000 },
@@ -39,7 +40,7 @@
 }
 
 static void
-rows_come_out_as_they_went_in (void **state)
+decoding_restores_encoded_rows (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -65,15 +66,15 @@
       assert_int_equal (g_variant_n_children (rows), 1);
       g_variant_get_child (rows, 0, "(&st&s)", &key, &version, &got);
       if (strcmp (key, "key") != 0 || version != 7 || strcmp (got, value) != 0)
-        fail_msg ("%s: came out as %s", c->name, got);
+        fail_msg ("%s: decoded as %s", c->name, got);
       cc_view_clear (&v);
     }
 }
 
-/* Guards against a value that is kept compressed and sent after the row has
+/* Guards against a cached compressed value that is sent after the row has
  * changed. */
 static void
-a_changed_row_is_encoded_anew (void **state)
+a_changed_row_is_encoded_again (void **state)
 {
   CcView v;
   char first[5000], second[5000];
@@ -132,13 +133,14 @@
 static const Damaged damaged[] = {
   { "not deflated", TRUE, "plain text", 10 },
   { "empty", TRUE, "", 0 },
-  { "cut off", TRUE, "\x78\x01\x4b\x4c", 4 },
-  { "a NUL in it", TRUE, "\x78\x9c\x4b\x64\x48\x02\x00\x01\x88\x00\xc4", 11 },
+  { "truncated", TRUE, "\x78\x01\x4b\x4c", 4 },
+  { "contains a NUL", TRUE, "\x78\x9c\x4b\x64\x48\x02\x00\x01\x88\x00\xc4",
+    11 },
   { "not UTF-8", FALSE, "\xff\xfe", 2 },
 };
 
 static void
-damaged_rows_are_refused (void **state)
+damaged_rows_are_rejected (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (damaged); i++)
@@ -153,7 +155,7 @@
                                                         d->bytes, d->size, 1));
       encoded = g_variant_ref_sink (g_variant_builder_end (&b));
       if (cc_rows_decode (encoded) != NULL)
-        fail_msg ("%s: was taken", d->name);
+        fail_msg ("%s: was accepted", d->name);
     }
 }
 
@@ -161,10 +163,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (rows_come_out_as_they_went_in),
-    cmocka_unit_test (a_changed_row_is_encoded_anew),
+    cmocka_unit_test (decoding_restores_encoded_rows),
+    cmocka_unit_test (a_changed_row_is_encoded_again),
     cmocka_unit_test (a_row_is_compressed_once),
-    cmocka_unit_test (damaged_rows_are_refused),
+    cmocka_unit_test (damaged_rows_are_rejected),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
