--- a/roster.c
+++ b/roster.c
@@ -1,7 +1,8 @@
-/* The roster: dispatchers whose lease stands and a pool's listed servers. */
+/* Snapshot of the dispatchers with a valid lease, a pool's listed servers and
+ * the router's listed instances. */
 #include "roster.h"
 
-/* An empty roster. */
+/* Creates an empty roster. */
 CcRoster *
 cc_roster_new (void)
 {
@@ -40,7 +41,7 @@
   g_free (r);
 }
 
-/* Adds a dispatcher whose lease stands. */
+/* Adds a dispatcher whose lease is valid. */
 void
 cc_roster_add_dispatcher (CcRoster *r, const char *id, const char *zone,
                           gboolean draining)
@@ -53,7 +54,7 @@
   g_ptr_array_add (r->dispatchers, d);
 }
 
-/* Adds an instance of ours that is listed. */
+/* Adds a listed instance of the router. */
 void
 cc_roster_add_instance (CcRoster *r, const char *name)
 {
@@ -74,7 +75,7 @@
   g_ptr_array_add (r->servers, s);
 }
 
-/* The listed server named NAME, or NULL. */
+/* Returns the listed server named NAME, or NULL. */
 const CcRosterServer *
 cc_roster_server (const CcRoster *r, const char *name)
 {
@@ -88,7 +89,7 @@
   return NULL;
 }
 
-/* The dispatcher ID, or NULL if its lease does not stand. */
+/* Returns the dispatcher ID, or NULL if it has no valid lease. */
 const CcRosterDispatcher *
 cc_roster_dispatcher (const CcRoster *r, const char *id)
 {
--- a/roster.h
+++ b/roster.h
@@ -1,4 +1,5 @@
-/* What the assigner knows of the world at one moment. */
+/* A snapshot of the dispatchers, servers and instances that the assigner
+ * distributes keys among. */
 #ifndef CC_ROSTER_H
 #define CC_ROSTER_H
 
@@ -8,7 +9,7 @@
 {
   char *id; /* dispatcher id, "a1.17f3.1" */
   char *zone;
-  gboolean draining; /* hands its servers over */
+  gboolean draining; /* it is handing its servers over */
 } CcRosterDispatcher;
 
 typedef struct
@@ -21,10 +22,10 @@
 
 typedef struct
 {
-  GPtrArray *dispatchers; /* of CcRosterDispatcher: leases that stand */
-  GPtrArray *servers;     /* of CcRosterServer: the pool's, as listed */
-  GPtrArray *instances;   /* names of our instances, as listed */
-  gboolean keeps;         /* the pool is served on without a lease */
+  GPtrArray *dispatchers; /* of CcRosterDispatcher: those with a valid lease */
+  GPtrArray *servers;     /* of CcRosterServer: the pool's listed servers */
+  GPtrArray *instances;   /* names of the router's listed instances */
+  gboolean keeps;         /* the pool is still served when a lease expires */
 } CcRoster;
 
 CcRoster *cc_roster_new (void);
