--- a/follower.c
+++ b/follower.c
@@ -1,9 +1,11 @@
-/* Rows come from the platform by polling for changes, and from peers by SYNC
- * and ROWS; the view takes whichever is newer.  A process that starts in a
- * zone cut off from the platform thus gets the newest rows its peers hold.
+/* Polls the platform for changed rows, and exchanges rows with peers by SYNC
+ * and ROWS messages; the view keeps whichever version is newer.  So a process
+ * that starts in a zone that is cut off from the platform gets the newest rows
+ * that its peers hold.
  *
- * Load: one small read a poll.  Entries ask their own instance's dispatcher
- * and never the platform, so the platform sees one reader per instance. */
+ * Load: one small read for each poll.  Entries poll their own instance's
+ * dispatcher and never the platform, so the platform has one reader per
+ * instance. */
 #include "follower.h"
 
 #include <json-glib/json-glib.h>
@@ -12,18 +14,21 @@
 #include "log.h"
 #include "metrics.h"
 
-#define TICK_MS 100    /* how often the rest is looked at */
-#define POLL_TICKS 2   /* platform asked every 200 ms: 5 reads/s each */
-#define GOSSIP_TICKS 5 /* a peer asked every 500 ms */
-#define PLATFORM_SILENT (2 * CC_SECOND) /* longer than one lost answer */
-#define LISTENER_KEPT (2 * CC_SECOND)   /* without a SYNC it is forgotten */
+#define TICK_MS 100    /* period of the timer */
+#define POLL_TICKS 2   /* platform polled every 200 ms: 5 reads/s per process */
+#define GOSSIP_TICKS 5 /* random member polled every 500 ms */
+#define PLATFORM_OUTAGE_AFTER                                                  \
+  (2 * CC_SECOND) /* longer than one lost answer takes */
+#define SUBSCRIBER_TIMEOUT                                                     \
+  (2 * CC_SECOND) /* removed without a SYNC for this time */
 
+/* A peer that polls this process, and that is sent new rows at once. */
 typedef struct
 {
-  guint64 incarnation; /* who asked */
-  guint64 upto;        /* sent to it so far */
-  gint64 heard;        /* when it last asked, us */
-} Listener;
+  guint64 incarnation; /* of the peer */
+  guint64 upto;        /* version up to which rows were sent to it */
+  gint64 last_sync;    /* when its last SYNC arrived, us */
+} Subscriber;
 
 static void
 member_free (gpointer data)
@@ -43,8 +48,9 @@
   cc_slicemap_free (data);
 }
 
-/* A follower that talks through BOX.  SEEDS are copied; SKIP must last.
- * CHANGED is called after the view has news. */
+/* Creates a follower that exchanges messages through BOX.  SEEDS are copied;
+ * SKIP must outlive the follower.  CHANGED is called after each change of the
+ * view. */
 CcFollower *
 cc_follower_new (CcMailbox *box, CcPlatform *platform, const char *skip,
                  char **seeds, gboolean gossips, CcFollowerChanged changed,
@@ -56,7 +62,7 @@
   f->maps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, map_free);
   f->members =
       g_hash_table_new_full (g_str_hash, g_str_equal, NULL, member_free);
-  f->listeners =
+  f->subscribers =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   f->mailbox = box;
   f->platform = platform;
@@ -65,12 +71,12 @@
   f->gossips = gossips;
   f->changed = changed;
   f->data = data;
-  f->platform_told = TRUE;
+  f->logged_reachable = TRUE;
   return f;
 }
 
 static void
-take_document (CcFollower *f, const CcRow *row)
+apply_document (CcFollower *f, const CcRow *row)
 {
   CcFindings findings;
   CcDocument *d;
@@ -89,13 +95,14 @@
     }
   else
     cc_log (CC_LOG_ERROR, "configuration",
-            "row of version %" G_GUINT64_FORMAT " is damaged, kept the old",
+            "row with version %" G_GUINT64_FORMAT
+            " is damaged, the configuration in force stays",
             row->version);
   cc_findings_clear (&findings);
 }
 
 static void
-take_map (CcFollower *f, const CcRow *row)
+apply_map (CcFollower *f, const CcRow *row)
 {
   const char *pool = row->key + strlen ("map/");
   CcSliceMap *old = g_hash_table_lookup (f->maps, pool);
@@ -109,7 +116,7 @@
 }
 
 static void
-take_member (CcFollower *f, const CcRow *row)
+apply_member (CcFollower *f, const CcRow *row)
 {
   g_autoptr (JsonNode) root = json_from_string (row->value, NULL);
   JsonObject *o;
@@ -136,69 +143,70 @@
 }
 
 static void
-read_view (CcFollower *f)
+apply_view (CcFollower *f)
 {
   const CcRow *head = cc_view_get (&f->view, "config/head");
   g_autoptr (GPtrArray) maps = cc_view_list (&f->view, "map/");
   g_autoptr (GPtrArray) members = cc_view_list (&f->view, "member/");
 
   if (head != NULL && head->version > f->document_version)
-    take_document (f, head);
+    apply_document (f, head);
   for (guint i = 0; i < maps->len; i++)
-    take_map (f, maps->pdata[i]);
+    apply_map (f, maps->pdata[i]);
   g_hash_table_remove_all (f->members);
   for (guint i = 0; i < members->len; i++)
-    take_member (f, members->pdata[i]);
+    apply_member (f, members->pdata[i]);
 }
 
 static void
-send_rows (CcFollower *f, const char *address, Listener *l)
+send_rows (CcFollower *f, const char *address, Subscriber *s)
 {
   CcMessage m = { .kind = CC_MSG_ROWS };
 
-  m.to = l->incarnation;
+  m.to = s->incarnation;
   m.id = cc_mailbox_next_id (f->mailbox);
   m.expires = cc_clock_wall () + CC_SECOND + CC_SKEW_MAX;
-  m.u.rows.since = l->upto;
+  m.u.rows.since = s->upto;
   m.u.rows.upto = f->view.upto;
-  m.u.rows.rows = cc_view_since (&f->view, l->upto);
+  m.u.rows.rows = cc_view_since (&f->view, s->upto);
   if (cc_mailbox_send (f->mailbox, address, &m) == CC_OK)
-    l->upto = f->view.upto;
+    s->upto = f->view.upto;
 }
 
 static void
-tell_listeners (CcFollower *f)
+send_rows_to_subscribers (CcFollower *f)
 {
   GHashTableIter iter;
-  gpointer address, listener;
+  gpointer address, subscriber;
   gint64 now = cc_clock_now ();
 
-  g_hash_table_iter_init (&iter, f->listeners);
-  while (g_hash_table_iter_next (&iter, &address, &listener))
+  g_hash_table_iter_init (&iter, f->subscribers);
+  while (g_hash_table_iter_next (&iter, &address, &subscriber))
     {
-      if (((Listener *) listener)->heard < now - LISTENER_KEPT)
+      if (((Subscriber *) subscriber)->last_sync < now - SUBSCRIBER_TIMEOUT)
         g_hash_table_iter_remove (&iter);
       else
-        send_rows (f, address, listener);
+        send_rows (f, address, subscriber);
     }
 }
 
 static void
 notify_changed (CcFollower *f)
 {
-  read_view (f);
+  apply_view (f);
   f->changed (f, f->data);
-  tell_listeners (f);
+  send_rows_to_subscribers (f);
 }
 
 static void
-take_rows (CcFollower *f, guint64 since, guint64 upto, GVariant *rows)
+apply_rows (CcFollower *f, guint64 since, guint64 upto, GVariant *rows)
 {
   if (cc_view_apply (&f->view, since, upto, rows) > 0)
     notify_changed (f);
 }
 
-/* Takes in the row at KEY, which this process has just written as VERSION. */
+/* Adds the row KEY, which this process has just written as VERSION, to the
+ * view. */
 void
 cc_follower_wrote (CcFollower *f, const char *key, guint64 version,
                    const char *value)
@@ -237,8 +245,8 @@
   return newest;
 }
 
-/* Sends the row at KEY, a map, to the dispatchers IDS.  One that has not seen
- * the configuration and the members that the map rests on refuses it. */
+/* Sends the row KEY, a map, to the dispatchers IDS.  A dispatcher whose view
+ * lacks the configuration or the members that the map depends on rejects it. */
 void
 cc_follower_send_map (CcFollower *f, const char *key, GHashTable *ids)
 {
@@ -258,26 +266,27 @@
     }
 }
 
-/* Tells when the platform falls silent and when it answers again.  One lost
- * poll is no news: polls are bounded by the platform's timeout and come five
- * times a second. */
+/* Logs when the platform becomes unreachable and when it answers again.  One
+ * lost poll is not logged: polls end by the platform's timeout at the latest
+ * and are sent five times a second. */
 static void
-note_platform (CcFollower *f, gboolean answered)
+record_platform_state (CcFollower *f, gboolean answered)
 {
   gint64 now = cc_clock_now ();
   gboolean silent =
-      !answered && now - f->platform_answered_at > PLATFORM_SILENT;
+      !answered && now - f->platform_answered_at > PLATFORM_OUTAGE_AFTER;
 
   if (answered)
     f->platform_answered_at = now;
-  if (answered != f->platform_told && (answered || silent))
+  if (answered != f->logged_reachable && (answered || silent))
     {
-      f->platform_told = answered;
+      f->logged_reachable = answered;
       cc_log (answered ? CC_LOG_INFO : CC_LOG_WARNING, "platform",
-              answered ? "it answers"
-                       : "it does not answer; trying on, rows come from peers");
+              answered
+                  ? "reachable again"
+                  : "no response; retrying, rows come from peers meanwhile");
     }
-  cc_metrics_gauge ("capercrank_platform_reachable", "", f->platform_told);
+  cc_metrics_gauge ("capercrank_platform_reachable", "", f->logged_reachable);
 }
 
 static void
@@ -287,13 +296,13 @@
   CcFollower *f = data;
 
   f->polling = FALSE;
-  note_platform (f, status == CC_OK);
+  record_platform_state (f, status == CC_OK);
   if (status != CC_OK)
     return;
-  take_rows (f, since, upto, rows);
+  apply_rows (f, since, upto, rows);
 }
 
-/* Asks the platform for changes now, unless a call is in progress. */
+/* Polls the platform for changes now, unless a call is in progress. */
 void
 cc_follower_poll (CcFollower *f)
 {
@@ -304,7 +313,7 @@
 }
 
 static void
-ask_peer (CcFollower *f, const char *address)
+send_sync (CcFollower *f, const char *address)
 {
   CcMessage m = { .kind = CC_MSG_SYNC };
 
@@ -316,7 +325,7 @@
 }
 
 static void
-ask_any_member (CcFollower *f)
+sync_with_random_member (CcFollower *f)
 {
   guint n = g_hash_table_size (f->members);
   guint pick = n > 0 ? g_random_int_range (0, (gint32) n) : 0;
@@ -326,20 +335,21 @@
   g_hash_table_iter_init (&iter, f->members);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (pick-- == 0)
-      ask_peer (f, ((CcMember *) value)->address);
+      send_sync (f, ((CcMember *) value)->address);
 }
 
-/* The first seed that is up is asked each tick; if none is, any member. */
+/* Sends a SYNC to the first seed that is connected, or to a random member if no
+ * seed is. */
 static void
-ask_seeds (CcFollower *f)
+sync_with_seed (CcFollower *f)
 {
   for (guint i = 0; f->seeds[i] != NULL; i++)
     if (cc_mailbox_is_up (f->mailbox, f->seeds[i]))
       {
-        ask_peer (f, f->seeds[i]);
+        send_sync (f, f->seeds[i]);
         return;
       }
-  ask_any_member (f);
+  sync_with_random_member (f);
 }
 
 static gboolean
@@ -347,21 +357,21 @@
 {
   CcFollower *f = data;
 
-  f->turn++;
-  if (f->turn % POLL_TICKS == 0)
+  f->ticks++;
+  if (f->ticks % POLL_TICKS == 0)
     cc_follower_poll (f);
   if (!f->gossips)
-    ask_seeds (f);
-  else if (f->turn % GOSSIP_TICKS == 0)
+    sync_with_seed (f);
+  else if (f->ticks % GOSSIP_TICKS == 0)
     {
-      ask_any_member (f);
-      ask_seeds (f);
+      sync_with_random_member (f);
+      sync_with_seed (f);
     }
   cc_metrics_gauge ("capercrank_view_version", "", (double) f->view.upto);
   return G_SOURCE_CONTINUE;
 }
 
-/* Begins to follow. */
+/* Connects to the seeds and starts polling. */
 void
 cc_follower_start (CcFollower *f)
 {
@@ -374,29 +384,30 @@
 static void
 answer_sync (CcFollower *f, const CcMessage *m)
 {
-  Listener *l = g_hash_table_lookup (f->listeners, m->reply_to);
+  Subscriber *s = g_hash_table_lookup (f->subscribers, m->reply_to);
 
-  if (l == NULL)
+  if (s == NULL)
     {
-      l = g_new0 (Listener, 1);
-      g_hash_table_insert (f->listeners, g_strdup (m->reply_to), l);
+      s = g_new0 (Subscriber, 1);
+      g_hash_table_insert (f->subscribers, g_strdup (m->reply_to), s);
     }
-  l->incarnation = m->from;
-  l->heard = cc_clock_now ();
-  l->upto = m->u.sync.upto;
-  send_rows (f, m->reply_to, l);
+  s->incarnation = m->from;
+  s->last_sync = cc_clock_now ();
+  s->upto = m->u.sync.upto;
+  send_rows (f, m->reply_to, s);
 }
 
-/* A peer's rows lack those that it skips when it polls.  Who skips nothing, an
- * assigner, takes them but is not complete by them: it would never be given the
- * last renewal of a lease, take the lease for older than it is, and have each
- * takeover refused for good. */
+/* Returns the version up to which a peer's rows, complete to UPTO, make the
+ * view complete.  A peer's rows lack those that it skips when it polls.  A
+ * process that skips none, an assigner, applies them but does not count them as
+ * complete: it would never receive the last renewal of a lease, take the lease
+ * for older than it is, and have each takeover rejected for good. */
 static guint64
-complete_to (const CcFollower *f, guint64 upto)
+complete_upto (const CcFollower *f, guint64 upto)
 {
-  gboolean wants_all = f->platform != NULL && f->skip[0] == '\0';
+  gboolean needs_all_rows = f->platform != NULL && f->skip[0] == '\0';
 
-  return wants_all ? MIN (upto, f->view.upto) : upto;
+  return needs_all_rows ? MIN (upto, f->view.upto) : upto;
 }
 
 /* Handles a SYNC or ROWS message. */
@@ -408,17 +419,18 @@
   if (m->kind == CC_MSG_SYNC)
     answer_sync (f, m);
   else if (m->kind == CC_MSG_ROWS)
-    take_rows (f, r->since, complete_to (f, r->upto), r->rows);
+    apply_rows (f, r->since, complete_upto (f, r->upto), r->rows);
 }
 
-/* The newest map of POOL, or NULL.  Valid until the view changes. */
+/* Returns the newest map of POOL, or NULL; valid until the view changes. */
 CcSliceMap *
 cc_follower_map (const CcFollower *f, const char *pool)
 {
   return g_hash_table_lookup (f->maps, pool);
 }
 
-/* The registered dispatcher ID, or NULL.  Valid until the view changes. */
+/* Returns the registered dispatcher ID, or NULL; valid until the view changes.
+ */
 const CcMember *
 cc_follower_member (const CcFollower *f, const char *id)
 {
--- a/follower.h
+++ b/follower.h
@@ -1,4 +1,5 @@
-/* Keeps a process's view of the table fresh, from the platform and peers. */
+/* Keeps a process's view of the table up to date from the platform and from
+ * peers. */
 #ifndef CC_FOLLOWER_H
 #define CC_FOLLOWER_H
 
@@ -8,7 +9,7 @@
 #include "slicemap.h"
 #include "view.h"
 
-/* A dispatcher that has registered, from its row member/ID. */
+/* A registered dispatcher, from its row member/ID. */
 typedef struct
 {
   char *id;
@@ -25,20 +26,20 @@
 struct CcFollower
 {
   CcView view;
-  CcDocument *document;     /* in force; NULL until one was accepted */
-  guint64 document_version; /* of its row */
+  CcDocument *document;     /* the configuration in force; NULL: none yet */
+  guint64 document_version; /* version of the configuration's row */
   GHashTable *maps;         /* pool to CcSliceMap */
   GHashTable *members;      /* id to CcMember */
   CcMailbox *mailbox;
-  CcPlatform *platform;        /* NULL: learns from peers only */
-  const char *skip;            /* keys the platform need not send */
-  char **seeds;                /* addresses of peers, the nearest first */
-  GHashTable *listeners;       /* address to Listener, who asked lately */
+  CcPlatform *platform;        /* NULL: rows come from peers only */
+  const char *skip;            /* prefix of keys that the platform leaves out */
+  char **seeds;                /* addresses of peers, nearest first */
+  GHashTable *subscribers;     /* address to Subscriber */
   gboolean polling;            /* a call to the platform is in progress */
-  gint64 platform_answered_at; /* when the platform last answered, us */
-  gboolean platform_told;      /* whether the log last said that it answers */
-  guint turn;                  /* counts ticks */
-  gboolean gossips;            /* asks other members, too */
+  gint64 platform_answered_at; /* last answer of the platform, us */
+  gboolean logged_reachable;   /* last state of the platform in the log */
+  guint ticks;                 /* number of timer ticks */
+  gboolean gossips;            /* also polls random members */
   CcFollowerChanged changed;
   gpointer data;
 };
--- a/test/test_follower.c
+++ b/test/test_follower.c
@@ -1,4 +1,5 @@
-/* How the view of one process reaches another, over real mailboxes. */
+/* Guards against a view that does not reach other processes; over real
+ * mailboxes. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +13,7 @@
 
 #define PORT 7600
 #define HANGS_AFTER_MS 10000
-#define SETTLE_MS 100 /* connections are empty by then */
+#define SETTLE_MS 100 /* time for connections to drain */
 #define MEMBER "{\"instance\":\"i\",\"address\":\"%s\",\"incarnation\":%u}"
 #define MAP "{\"servers\":[],\"slices\":[],\"hot\":[]}"
 
@@ -69,7 +70,7 @@
 }
 
 static void
-turn_for (guint ms)
+run_loop_for (guint ms)
 {
   gboolean over = FALSE;
 
@@ -79,7 +80,7 @@
 }
 
 static void
-take_row (Peer *p, const char *key, guint64 version, const char *value)
+receive_row (Peer *p, const char *key, guint64 version, const char *value)
 {
   CcMessage m = { .kind = CC_MSG_ROWS };
 
@@ -91,17 +92,17 @@
   g_variant_unref (m.u.rows.rows);
 }
 
-/* Guards against a dispatcher that goes on sending to a server by an old map
- * until it next reads the table, and against one that acts on a map without the
- * members that the map rests on. */
+/* Guards against a dispatcher that keeps sending to a server by an old map
+ * until its next poll of the table, and against one that applies a map without
+ * the members that the map depends on. */
 static void
-a_written_map_reaches_its_dispatchers (void **state)
+a_written_map_is_sent_to_its_dispatchers (void **state)
 {
   static const struct
   {
-    guint64 member;   /* version of the newest member row */
-    guint64 seen;     /* up to which the dispatcher has seen the table */
-    gboolean reaches; /* whether the map does */
+    guint64 member;    /* version of the newest member row */
+    guint64 upto;      /* version up to which the dispatcher has the table */
+    gboolean accepted; /* whether the dispatcher takes the map */
   } cases[] = { { 2, 2, TRUE }, { 2, 5, TRUE }, { 7, 5, FALSE } };
   Peer assigner = { 0 }, dispatcher = { 0 };
   g_autofree char *row = NULL;
@@ -118,22 +119,22 @@
       g_autofree char *key = g_strdup_printf ("map/p%u", i);
       guint received = dispatcher.received;
 
-      take_row (&assigner, "member/d", cases[i].member, row);
-      take_row (&dispatcher, "x", cases[i].seen, "");
+      receive_row (&assigner, "member/d", cases[i].member, row);
+      receive_row (&dispatcher, "x", cases[i].upto, "");
       for (guint k = 0; k < HANGS_AFTER_MS &&
                         !cc_mailbox_is_up (assigner.box, dispatcher.address);
            k++)
-        turn_for (1);
+        run_loop_for (1);
       cc_follower_wrote (assigner.follower, key, 100 + i, MAP);
       assert_non_null (cc_view_get (&assigner.follower->view, key));
       cc_follower_send_map (assigner.follower, key, ids);
       for (guint k = 0; k < HANGS_AFTER_MS && dispatcher.received == received;
            k++)
-        turn_for (1);
+        run_loop_for (1);
       assert_int_equal (dispatcher.received, received + 1);
       assert_int_equal (cc_view_get (&dispatcher.follower->view, key) != NULL,
-                        cases[i].reaches);
-      assert_int_equal (dispatcher.follower->view.upto, cases[i].seen);
+                        cases[i].accepted);
+      assert_int_equal (dispatcher.follower->view.upto, cases[i].upto);
     }
   g_usleep (SETTLE_MS * 1000);
   cc_mailbox_free (assigner.box);
@@ -144,7 +145,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_written_map_reaches_its_dispatchers),
+    cmocka_unit_test (a_written_map_is_sent_to_its_dispatchers),
   };
 
   return cmocka_run_group_tests_name ("follower", tests, NULL, NULL);
