--- a/test/test_view.c
+++ b/test/test_view.c
@@ -1,6 +1,6 @@
-/* The view against an obviously right model: a list of all transactions, in
- * order.  Whatever a view holds must be a state that the table had for that
- * row, never older than before, and complete as far as the view says. */
+/* Guards against a view that goes back to an older row, holds a value that the
+ * table never had, or counts as complete while rows are missing; compared with
+ * a list of all transactions. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -20,7 +20,7 @@
 {
   guint key;
   guint64 version;
-  char value[16]; /* "" is deleted */
+  char value[16]; /* "": deleted */
 } Write;
 
 typedef struct
@@ -44,7 +44,7 @@
     }
 }
 
-/* The newest write of KEY up to version UPTO, or NULL. */
+/* Returns the newest write of KEY up to version UPTO, or NULL. */
 static const Write *
 newest (const History *h, guint key, guint64 upto)
 {
@@ -56,7 +56,7 @@
   return found;
 }
 
-/* What the table, at version UPTO, answers to "changes since". */
+/* Returns the table's changes after SINCE up to UPTO. */
 static GVariant *
 changes (const History *h, guint64 since, guint64 upto)
 {
@@ -74,10 +74,10 @@
   return g_variant_ref_sink (g_variant_builder_end (&b));
 }
 
-/* Every row is at least as new as the table was at v->upto, and none is one
- * that the table never held. */
+/* Returns TRUE if every row is at least as new as the table's at v->upto, and
+ * the table held each row of V. */
 static gboolean
-is_true_to (const CcView *v, const History *h)
+matches_history (const CcView *v, const History *h)
 {
   for (guint k = 0; k < KEYS; k++)
     {
@@ -96,8 +96,8 @@
   return TRUE;
 }
 
-/* A delivery as links give it: an old or a new answer, from any starting
- * point, or single rows that are complete for nothing. */
+/* Delivers a random update: an old or a new answer, from any version on, or a
+ * single row that makes nothing complete. */
 static void
 deliver (CcView *v, const History *h, GRand *rand)
 {
@@ -121,7 +121,7 @@
 }
 
 static void
-note_versions (const CcView *v, guint64 *versions)
+read_versions (const CcView *v, guint64 *versions)
 {
   for (guint k = 0; k < KEYS; k++)
     {
@@ -146,10 +146,10 @@
   for (guint i = 0; i < STEPS && good; i++)
     {
       deliver (&v, &h, rand);
-      note_versions (&v, now);
+      read_versions (&v, now);
       for (guint k = 0; k < KEYS; k++)
         good = good && now[k] >= before[k];
-      good = good && v.upto >= upto && is_true_to (&v, &h);
+      good = good && v.upto >= upto && matches_history (&v, &h);
       memcpy (before, now, sizeof now);
       upto = v.upto;
     }
@@ -162,42 +162,43 @@
 {
   for (guint seed = 1; seed <= SEEDS; seed++)
     if (!run_seed (seed))
-      fail_msg ("seed %u: stepped back, or claims what it lacks", seed);
+      fail_msg ("seed %u: went back, or lacks rows up to its version", seed);
 }
 
-/* A peer's view passed on is as good as the table: what one view gives with
- * cc_view_since leads another to the same rows. */
+/* Guards against rows that are lost or changed when a view is filled from
+ * another by cc_view_since and cc_view_apply. */
 static void
-test_passed_on (void **state)
+test_view_filled_from_view (void **state)
 {
   for (guint seed = 1; seed <= 300; seed++)
     {
       g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
       History h;
-      CcView giver, taker;
+      CcView sender, receiver;
 
       make_history (&h, rand);
-      cc_view_init (&giver);
-      cc_view_init (&taker);
+      cc_view_init (&sender);
+      cc_view_init (&receiver);
       for (guint i = 0; i < STEPS; i++)
         {
           g_autoptr (GVariant) rows = NULL;
 
-          deliver (&giver, &h, rand);
-          rows = g_variant_ref_sink (cc_view_since (&giver, taker.upto));
-          cc_view_apply (&taker, taker.upto, giver.upto, rows);
-          if (!is_true_to (&taker, &h))
-            fail_msg ("seed %u: the taker claims what it lacks", seed);
+          deliver (&sender, &h, rand);
+          rows = g_variant_ref_sink (cc_view_since (&sender, receiver.upto));
+          cc_view_apply (&receiver, receiver.upto, sender.upto, rows);
+          if (!matches_history (&receiver, &h))
+            fail_msg ("seed %u: the receiver lacks rows up to its version",
+                      seed);
         }
-      cc_view_clear (&giver);
-      cc_view_clear (&taker);
+      cc_view_clear (&sender);
+      cc_view_clear (&receiver);
     }
 }
 
-/* Whether what V gives as written after SINCE is just that, in the order in
- * which it was written. */
+/* Returns TRUE if cc_view_since gives exactly the rows of V that were written
+ * after SINCE, in the order of writing. */
 static gboolean
-gives_newer (const CcView *v, guint64 since)
+since_is_exact (const CcView *v, guint64 since)
 {
   g_autoptr (GVariant) rows = g_variant_ref_sink (cc_view_since (v, since));
   g_autoptr (GPtrArray) all = cc_view_rows (v);
@@ -221,7 +222,7 @@
 }
 
 static void
-test_since_gives_what_is_newer (void **state)
+test_since_returns_newer_rows (void **state)
 {
   for (guint seed = 1; seed <= 300; seed++)
     {
@@ -235,7 +236,7 @@
         {
           deliver (&v, &h, rand);
           for (guint64 since = 0; since <= WRITES; since++)
-            if (!gives_newer (&v, since))
+            if (!since_is_exact (&v, since))
               fail_msg ("seed %u: wrong rows since %u", seed, (guint) since);
         }
       cc_view_clear (&v);
@@ -246,8 +247,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_deliveries), cmocka_unit_test (test_passed_on),
-    cmocka_unit_test (test_since_gives_what_is_newer)
+    cmocka_unit_test (test_deliveries),
+    cmocka_unit_test (test_view_filled_from_view),
+    cmocka_unit_test (test_since_returns_newer_rows)
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/view.c
+++ b/view.c
@@ -1,14 +1,14 @@
-/* A process never steps back to an older row: a row is taken only if its
- * version is higher than the one held, whoever sends it and in whatever order.
- * Without that rule an answer delayed in a queue, or a peer cut off for an
+/* Rows of a table by key and by version.  A row is replaced only by one with a
+ * higher version, whatever its source and order of arrival.  Without that rule
+ * an answer that was delayed in a queue, or a peer that was cut off for an
  * hour, would bring back a configuration that operators have replaced.
  *
- * Load pattern: hundreds of followers ask again and again for what is newer
- * than their copy, which is a row or two of thousands.  So rows are also linked
- * by version, and an answer costs as much as it holds.
+ * Load pattern: hundreds of followers keep requesting the rows that are newer
+ * than their copy, one or two of thousands.  So rows are also linked by
+ * version, and the cost of an answer is proportional to the rows in it.
  *
- * `upto` says how far the view is complete.  It moves only when the giver
- * listed all changes since a version that this view had already reached.
+ * `upto` is the version up to which the view is complete.  It advances only
+ * when a sender lists all changes since a version that this view has reached.
  */
 #include "view.h"
 
@@ -32,7 +32,7 @@
   return strcmp (a, b);
 }
 
-/* Makes V an empty view, complete up to version 0. */
+/* Initializes V as an empty view, complete up to version 0. */
 void
 cc_view_init (CcView *v)
 {
@@ -41,7 +41,7 @@
   v->upto = 0;
 }
 
-/* Frees what V holds. */
+/* Frees the contents of V. */
 void
 cc_view_clear (CcView *v)
 {
@@ -61,8 +61,8 @@
   row->older = row->newer = NULL;
 }
 
-/* Puts ROW, which is not linked, to its place by version: nearly always among
- * the newest. */
+/* Links ROW by its version.  The search starts at the newest row, since nearly
+ * all rows are inserted there. */
 static void
 link_row (CcView *v, CcRow *row)
 {
@@ -83,8 +83,8 @@
     v->newest = row;
 }
 
-/* Takes a row if it is newer than the one held.  VALUE NULL or "" deletes.
- * Returns TRUE if the view changed. */
+/* Stores the row if it is newer than the one held.  A VALUE of NULL or "" marks
+ * it as deleted.  Returns TRUE if the view changed. */
 gboolean
 cc_view_put (CcView *v, const char *key, guint64 version, const char *value)
 {
@@ -107,8 +107,8 @@
   return TRUE;
 }
 
-/* Notes that all rows from SINCE to UPTO were put.  Returns FALSE, with no
- * change, if that leaves a gap or brings nothing new. */
+/* Records that all rows written after SINCE up to UPTO were put.  Returns
+ * FALSE, with no change, if SINCE leaves a gap or UPTO is not newer. */
 gboolean
 cc_view_advance (CcView *v, guint64 since, guint64 upto)
 {
@@ -118,14 +118,14 @@
   return TRUE;
 }
 
-/* The row at KEY, also if it was deleted; NULL: none was ever put. */
+/* Returns the row KEY, even if it was deleted; NULL if none was ever put. */
 const CcRow *
 cc_view_find (const CcView *v, const char *key)
 {
   return g_tree_lookup (v->rows, key);
 }
 
-/* The row at KEY, or NULL if there is none or it was deleted. */
+/* Returns the row KEY, or NULL if there is none or it was deleted. */
 const CcRow *
 cc_view_get (const CcView *v, const char *key)
 {
@@ -134,8 +134,8 @@
   return row != NULL && row->value != NULL ? row : NULL;
 }
 
-/* The rows whose keys start with PREFIX, in order of keys.  They belong to the
- * view; the caller unrefs the array. */
+/* Returns the rows (CcRow) whose keys start with PREFIX, without deleted ones,
+ * in order of keys.  The view owns the rows; the caller unrefs the array. */
 GPtrArray *
 cc_view_list (const CcView *v, const char *prefix)
 {
@@ -153,8 +153,8 @@
   return found;
 }
 
-/* All rows, also those that were deleted, in order of keys.  They belong to the
- * view; the caller unrefs the array. */
+/* Returns all rows (CcRow), including deleted ones, in order of keys.  The view
+ * owns the rows; the caller unrefs the array. */
 GPtrArray *
 cc_view_rows (const CcView *v)
 {
@@ -166,8 +166,8 @@
   return found;
 }
 
-/* The oldest row written after version SINCE, deleted ones too, from which
- * `newer` leads to the others; NULL: none. */
+/* Returns the oldest row written after version SINCE, including deleted ones,
+ * or NULL; its `newer` links lead to the other ones. */
 CcRow *
 cc_view_first_since (const CcView *v, guint64 since)
 {
@@ -179,8 +179,8 @@
   return first;
 }
 
-/* All rows written after version SINCE, deleted ones too, as a(sts), the oldest
- * first.  The result is floating. */
+/* Returns all rows written after version SINCE, including deleted ones, as
+ * a(sts), the oldest first.  The result is floating. */
 GVariant *
 cc_view_since (const CcView *v, guint64 since)
 {
@@ -194,27 +194,26 @@
   return g_variant_builder_end (&b);
 }
 
-/* Takes ROWS (a(sts)), complete from SINCE to UPTO.  Returns how many were
- * news.
+/* Applies ROWS (a(sts)), which are complete after SINCE up to UPTO.  Returns
+ * how many rows were newer than the ones held.
  *
- * Rows with a gap before them are refused: what stands in the gap may be what
- * they rest on.  An assigner that saw a map without the member row of a
- * dispatcher it names would take that dispatcher for lost, and give its servers
- * away while it still sends.  The next question tells the giver where to start.
- */
+ * Rows after a gap are rejected, because they may depend on rows in the gap. An
+ * assigner that had a map without the member row of a dispatcher named in it
+ * would take that dispatcher for lost, and give its servers to another while it
+ * still sends.  The next request gives the sender the version to start from. */
 guint
 cc_view_apply (CcView *v, guint64 since, guint64 upto, GVariant *rows)
 {
   GVariantIter iter;
   const char *key, *value;
   guint64 version;
-  guint news = 0;
+  guint changed = 0;
 
   if (since > v->upto)
     return 0;
   g_variant_iter_init (&iter, rows);
   while (g_variant_iter_next (&iter, "(&st&s)", &key, &version, &value))
-    news += cc_view_put (v, key, version, value) ? 1 : 0;
+    changed += cc_view_put (v, key, version, value) ? 1 : 0;
   cc_view_advance (v, since, upto);
-  return news;
+  return changed;
 }
--- a/view.h
+++ b/view.h
@@ -1,4 +1,4 @@
-/* The newest rows of the platform's table that a process knows. */
+/* A process's view of a table: the newest known version of each row. */
 #ifndef CC_VIEW_H
 #define CC_VIEW_H
 
@@ -12,16 +12,16 @@
   char *key;        /* "config/head", "map/catalogue", "member/a1" */
   guint64 version;  /* number of the transaction that wrote it */
   char *value;      /* JSON; NULL: deleted */
-  GBytes *deflated; /* VALUE as row_codec.c sends it; NULL: not made yet */
-  CcRow *older;     /* the next in the order of versions */
+  GBytes *deflated; /* VALUE as row_codec.c sends it; NULL: none yet */
+  CcRow *older;     /* neighbours in the order of versions */
   CcRow *newer;
 };
 
 typedef struct
 {
   GTree *rows;   /* key to CcRow */
-  CcRow *newest; /* of all, by version */
-  guint64 upto;  /* every row written up to this transaction is held */
+  CcRow *newest; /* row with the highest version */
+  guint64 upto;  /* every row is held that was written up to this transaction */
 } CcView;
 
 void cc_view_init (CcView *v);
