--- a/listing.h
+++ b/listing.h
@@ -1,5 +1,5 @@
-/* When the platform's list of instances is asked for, and which answer counts.
- */
+/* Scheduling of reads of the platform's list of instances, and the choice of
+ * the answer that is used. */
 #ifndef CC_LISTING_H
 #define CC_LISTING_H
 
@@ -9,9 +9,9 @@
 
 typedef struct
 {
-  gint64 due;    /* next question, us */
-  guint64 asked; /* number of the last question; 0: none */
-  guint64 taken; /* number of the one whose answer counts; 0: none came */
+  gint64 due;        /* time of the next request, us */
+  guint64 requested; /* number of the last request; 0: none */
+  guint64 taken;     /* number of the request whose answer is used; 0: none */
 } CcListing;
 
 guint64 cc_listing_request (CcListing *l, gint64 now);
--- a/test/test_listing.c
+++ b/test/test_listing.c
@@ -1,4 +1,5 @@
-/* How old the list of instances is while its answers are slow. */
+/* Guards against a list of instances that becomes stale while the platform's
+ * answers are slow. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,9 +18,8 @@
   gint64 answered; /* us */
 } Call;
 
-/* Guards against a change of the list that is seen only after two answers,
- * though it is read as soon as it is asked for: a period and one answer are
- * enough. */
+/* Guards against a change of the list that is seen only after the time of two
+ * answers; a period and one answer are enough. */
 static void
 a_slow_list_is_not_older_than_its_answer (void **state)
 {
@@ -59,7 +59,7 @@
     }
 }
 
-/* Guards against a list that goes back, since an answer overtook another. */
+/* Guards against a list that goes back because one answer overtook another. */
 static void
 an_overtaken_list_is_dropped (void **state)
 {
