--- a/platform.c
+++ b/platform.c
@@ -1,9 +1,8 @@
-/* HTTP with JSON to the platform, asynchronous, every call bounded by a
- * timeout that follows the times of its answers.  A write whose answer is lost
- * is reported as CC_UNKNOWN and never sent again from here: who asked reads the
- * row and sees whether it holds what they wrote.  Each call opens a connection
- * of its own, so that a connection gone silent costs one call and not all later
- * ones. */
+/* Asynchronous calls to the platform, JSON over HTTP.  Each call has a timeout
+ * that adapts to the platform's response times.  A write whose answer is lost
+ * is reported as CC_UNKNOWN and never retried here: the caller reads the row
+ * and compares it with what it wrote.  Each call opens a connection of its own,
+ * so that a stalled connection costs one call and not all later ones. */
 #include "platform.h"
 
 #include <string.h>
@@ -18,8 +17,8 @@
 #include "log.h"
 #include "metrics.h"
 
-/* An answer that comes later renews no lease. */
-#define TIMEOUT_MOST CC_LEASE_TERM
+/* Upper limit of the timeout; a later answer renews no lease. */
+#define TIMEOUT_MAX CC_LEASE_TERM
 
 struct CcPlatform
 {
@@ -34,11 +33,11 @@
 {
   CcPlatform *platform;
   SoupMessage *message;
-  GCancellable *cancel;
+  GCancellable *cancellable;
   guint timer;
-  gint64 began;     /* us */
-  gint64 allowed;   /* its timeout, us */
-  gboolean started; /* bytes may have left the process */
+  gint64 started_at;   /* us */
+  gint64 allowed;      /* its timeout, us */
+  gboolean maybe_sent; /* bytes may have left the process */
   guint64 since;
   CcCommitDone commit;
   CcChangesDone changes;
@@ -46,30 +45,31 @@
   gpointer data;
 } Call;
 
-/* A client of the platform at ADDRESS (IP:PORT) whose connections come from
- * the IP of SOURCE (IP:PORT); a call has TIMEOUT us, more while answers are
- * slow. */
+/* Creates a client of the platform at ADDRESS (IP:PORT) whose connections come
+ * from the IP of SOURCE (IP:PORT).  Calls time out after TIMEOUT us, or later
+ * while answers are slow. */
 CcPlatform *
 cc_platform_new (const char *address, const char *source, gint64 timeout)
 {
   CcPlatform *p = g_new0 (CcPlatform, 1);
 
   p->base = g_strconcat ("http://", address, NULL);
-  cc_call_timeout_init (&p->timeout, timeout, MAX (timeout, TIMEOUT_MOST));
+  cc_call_timeout_init (&p->timeout, timeout, MAX (timeout, TIMEOUT_MAX));
   p->session = cc_http_client (source, 64);
   p->calls = cc_metrics_counter ("capercrank_platform_calls", "");
   p->failures = cc_metrics_counter ("capercrank_platform_failures", "");
   return p;
 }
 
-/* How long answers of P take at present, smoothed, us; 0: none has come. */
+/* Returns the smoothed response time of the platform, us; 0 before the first
+ * answer. */
 gint64
 cc_platform_answer_time (const CcPlatform *p)
 {
   return p->timeout.smoothed;
 }
 
-/* An empty transaction, consumed by cc_platform_commit. */
+/* Creates an empty transaction, consumed by cc_platform_commit. */
 CcTransaction *
 cc_transaction_new (void)
 {
@@ -91,7 +91,7 @@
   g_string_append (s, quoted);
 }
 
-/* The transaction holds only if KEY has VERSION (0: there is no such row). */
+/* Makes T fail unless the row KEY has VERSION (0: there is no such row). */
 void
 cc_transaction_check (CcTransaction *t, const char *key, guint64 version)
 {
@@ -100,7 +100,7 @@
   g_string_append_printf (t->checks, ",%" G_GUINT64_FORMAT "]", version);
 }
 
-/* Writes VALUE at KEY; NULL deletes the row. */
+/* Makes T write VALUE to the row KEY; NULL deletes the row. */
 void
 cc_transaction_put (CcTransaction *t, const char *key, const char *value)
 {
@@ -114,7 +114,7 @@
   g_string_append_c (t->writes, ']');
 }
 
-/* The transaction as JSON, to be freed by the caller; consumes T. */
+/* Returns T as JSON, to be freed by the caller; consumes T. */
 static char *
 transaction_take (CcTransaction *t)
 {
@@ -135,11 +135,11 @@
   c->timer = 0;
   cc_call_timeout_expired (&c->platform->timeout, c->allowed);
   cc_log (CC_LOG_DEBUG, "platform",
-          "a %s was given up after %" G_GINT64_FORMAT
-          " ms, the next has %" G_GINT64_FORMAT " ms",
+          "%s timed out after %" G_GINT64_FORMAT
+          " ms, next timeout %" G_GINT64_FORMAT " ms",
           soup_message_get_method (c->message), c->allowed / CC_MS,
           c->platform->timeout.current / CC_MS);
-  g_cancellable_cancel (c->cancel);
+  g_cancellable_cancel (c->cancellable);
   return G_SOURCE_REMOVE;
 }
 
@@ -149,7 +149,7 @@
   Call *c = data;
 
   (void) message;
-  c->started = TRUE;
+  c->maybe_sent = TRUE;
 }
 
 static Call *
@@ -162,8 +162,8 @@
   c->data = data;
   c->message = soup_message_new (method, url);
   cc_http_once (c->message);
-  c->cancel = g_cancellable_new ();
-  c->began = cc_clock_now ();
+  c->cancellable = g_cancellable_new ();
+  c->started_at = cc_clock_now ();
   c->allowed = p->timeout.current;
   c->timer = g_timeout_add ((guint) (c->allowed / CC_MS), on_timeout, c);
   g_signal_connect (c->message, "starting", G_CALLBACK (on_starting), c);
@@ -177,11 +177,12 @@
   if (c->timer != 0)
     g_source_remove (c->timer);
   g_object_unref (c->message);
-  g_object_unref (c->cancel);
+  g_object_unref (c->cancellable);
   g_free (c);
 }
 
-/* The answer's JSON object, or NULL with *STATUS saying what went wrong. */
+/* Returns the answer's JSON object with *STATUS CC_OK, or NULL with the error
+ * in *STATUS. */
 static JsonNode *
 call_finish (Call *c, GAsyncResult *result, CcStatus *status)
 {
@@ -197,8 +198,8 @@
   code = soup_message_get_status (c->message);
   if (bytes != NULL)
     cc_call_timeout_answered (&c->platform->timeout,
-                              cc_clock_now () - c->began);
-  *status = c->started ? CC_UNKNOWN : CC_UNREACHABLE;
+                              cc_clock_now () - c->started_at);
+  *status = c->maybe_sent ? CC_UNKNOWN : CC_UNREACHABLE;
   if (bytes != NULL && code == SOUP_STATUS_CONFLICT)
     *status = CC_CONFLICT;
   if (bytes == NULL || code != SOUP_STATUS_OK)
@@ -234,7 +235,7 @@
   call_free (c);
 }
 
-/* Sends T, which it consumes.  DONE is called once, from the main loop. */
+/* Sends and consumes T.  DONE is called once, from the main loop. */
 void
 cc_platform_commit (CcPlatform *p, CcTransaction *t, CcCommitDone done,
                     gpointer data)
@@ -247,7 +248,7 @@
   soup_message_set_request_body_from_bytes (c->message, "application/json",
                                             bytes);
   soup_session_send_and_read_async (p->session, c->message, G_PRIORITY_DEFAULT,
-                                    c->cancel, on_committed, c);
+                                    c->cancellable, on_committed, c);
 }
 
 static GVariant *
@@ -294,8 +295,8 @@
   call_free (c);
 }
 
-/* Asks for the rows written after SINCE, without those whose keys start with
- * SKIP ("" for none).  DONE is called once. */
+/* Requests the rows written after SINCE, without those whose keys start with
+ * SKIP ("": all rows).  DONE is called once, from the main loop. */
 void
 cc_platform_changes (CcPlatform *p, guint64 since, const char *skip,
                      CcChangesDone done, gpointer data)
@@ -307,10 +308,11 @@
   c->changes = done;
   c->since = since;
   soup_session_send_and_read_async (p->session, c->message, G_PRIORITY_DEFAULT,
-                                    c->cancel, on_changes, c);
+                                    c->cancellable, on_changes, c);
 }
 
-/* Asks for the rows whose keys start with PREFIX, as they are now. */
+/* Requests the current rows whose keys start with PREFIX.  DONE is called once,
+ * from the main loop. */
 void
 cc_platform_rows (CcPlatform *p, const char *prefix, CcChangesDone done,
                   gpointer data)
@@ -322,7 +324,7 @@
 
   c->changes = done;
   soup_session_send_and_read_async (p->session, c->message, G_PRIORITY_DEFAULT,
-                                    c->cancel, on_changes, c);
+                                    c->cancellable, on_changes, c);
 }
 
 static void
@@ -378,7 +380,8 @@
   call_free (c);
 }
 
-/* Asks for the list of live and leaving instances, which lags. */
+/* Requests the list of live and leaving instances, which the platform updates
+ * with a delay.  DONE is called once, from the main loop. */
 void
 cc_platform_instances (CcPlatform *p, CcInstancesDone done, gpointer data)
 {
@@ -386,5 +389,5 @@
 
   c->instances = done;
   soup_session_send_and_read_async (p->session, c->message, G_PRIORITY_DEFAULT,
-                                    c->cancel, on_instances, c);
+                                    c->cancellable, on_instances, c);
 }
--- a/platform.h
+++ b/platform.h
@@ -6,7 +6,7 @@
 
 typedef struct CcPlatform CcPlatform;
 
-/* One transaction: all checks hold and all writes happen, or nothing does. */
+/* A transaction: if all checks hold, all writes happen; otherwise none does. */
 typedef struct
 {
   GString *checks; /* JSON, without the enclosing brackets */
@@ -19,18 +19,19 @@
   char *role; /* "entry", or the pool of a server */
   char *zone;
   char *address;    /* IP:PORT */
-  gboolean leaving; /* it is to be drained */
+  gboolean leaving; /* it is being drained */
 } CcInstance;
 
-/* STATUS: CC_OK with the table's VERSION of the transaction; CC_CONFLICT: a
- * check failed, nothing written; CC_UNREACHABLE: not sent; CC_UNKNOWN: sent,
- * may have taken effect. */
+/* STATUS is CC_OK, with VERSION as the table's version of the transaction;
+ * CC_CONFLICT: a check failed and nothing was written; CC_UNREACHABLE: not
+ * sent; or CC_UNKNOWN: sent, and it may have taken effect. */
 typedef void (*CcCommitDone) (CcStatus status, guint64 version, gpointer data);
-/* ROWS (a(sts)) is complete from SINCE to UPTO if STATUS is CC_OK. */
+/* If STATUS is CC_OK, ROWS (a(sts)) holds all rows written after SINCE up to
+ * UPTO. */
 typedef void (*CcChangesDone) (CcStatus status, guint64 since, guint64 upto,
                                GVariant *rows, gpointer data);
-/* INSTANCES (of CcInstance) holds the list if STATUS is CC_OK; who keeps it
- * takes a reference. */
+/* If STATUS is CC_OK, INSTANCES (of CcInstance) is the list; a callback that
+ * keeps it takes a reference. */
 typedef void (*CcInstancesDone) (CcStatus status, GPtrArray *instances,
                                  gpointer data);
 
