--- a/edge.h
+++ b/edge.h
@@ -1,6 +1,7 @@
-/* What has to be translated between the product and where it runs: headers of
- * callers and servers, rows that others write, calls that grant keys.  The
- * folder platform/ implements this header and table.h, and nothing else. */
+/* Translation between the router and the platform that it runs on: headers of
+ * callers and servers, rows that other programs write, and calls that grant
+ * keys.  The directory platform/ implements this header and table.h, and
+ * nothing else. */
 #ifndef CC_EDGE_H
 #define CC_EDGE_H
 
@@ -11,23 +12,23 @@
 #include "routes.h"
 #include "targets.h"
 
-#define CC_KEYS 65536 /* keys are numbers below it */
+#define CC_KEYS 65536 /* keys are numbers below this */
 
-/* What a caller's headers say of its request. */
+/* What a caller's headers say about its request. */
 typedef struct
 {
-  char *id;    /* unique to this attempt of the caller; "" if it gave none */
-  gint64 left; /* us until it gives up; -1: not said */
-  gint32 key;  /* -1: none, or not a key */
+  char *id;    /* unique to this attempt of the caller; "": not given */
+  gint64 left; /* time until the caller's deadline, us; -1: not given */
+  gint32 key;  /* -1: none, or not a valid key */
 } CcCallerInfo;
 
-/* What a server's answer is, beyond its status. */
+/* Classification of a server's answer, beyond its HTTP status. */
 typedef enum
 {
-  CC_SERVER_ANSWERED,    /* its own answer; the work has run */
-  CC_SERVER_SHED,        /* refused for its load or the time: not run */
-  CC_SERVER_MISDIRECTED, /* another server, or not the key's owner: not run */
-  CC_SERVER_MISMATCHED   /* not its answer to this request: nothing is known */
+  CC_SERVER_ANSWERED,    /* the server's own answer; the request has run */
+  CC_SERVER_SHED,        /* refused for load or lack of time; not run */
+  CC_SERVER_MISDIRECTED, /* another server, or not the key's owner; not run */
+  CC_SERVER_MISMATCHED   /* not an answer to this request; outcome unknown */
 } CcServerReplyKind;
 
 typedef struct
@@ -36,15 +37,15 @@
   CcLoadReport load;
 } CcServerReply;
 
-/* Keys FROM to TO, both included, for one server. */
+/* A grant of the keys FROM to TO, both included, to one server. */
 typedef struct
 {
   const char *server; /* its id */
   guint from;
   guint to;
-  guint64 fence;       /* grows with each holder */
-  gint64 hold;         /* how long the server may keep them, us */
-  const char *handoff; /* what the last holder left for it; NULL: nothing */
+  guint64 fence;       /* grows with each owner */
+  gint64 hold;         /* how long the server may hold the keys, us */
+  const char *handoff; /* data from the previous owner; NULL: none */
 } CcKeyGrant;
 
 void cc_edge_read_caller (SoupMessageHeaders *h, CcCallerInfo *w);
--- a/table.h
+++ b/table.h
@@ -1,39 +1,40 @@
-/* The table service in which all that must last is kept.
+/* The table service, which stores all durable state.
  *
- * Rows have a key within a table and a version, taken from one counter that
- * grows with each transaction.  The service is slow, away or deaf to this
- * process at times; every call ends with a status. */
+ * Rows have a key within a table, and a version from one counter that grows
+ * with each transaction.  The service may be slow, down, or unreachable for
+ * this process only; every call ends with a status. */
 #ifndef CC_TABLE_H
 #define CC_TABLE_H
 
 #include "http_link.h"
 
-/* The tables that are followed.  The first two are written by others. */
+/* The tables.  The first two are written by other programs. */
 typedef enum
 {
-  CC_TABLE_CONFIG,                   /* the operators' configuration */
-  CC_TABLE_UPSTREAMS,                /* upstreams, by their own reports */
-  CC_TABLE_STATE,                    /* ours: entries, owners of key ranges */
-  CC_TABLE_FOLLOWED,                 /* how many are followed */
-  CC_TABLE_LEASE = CC_TABLE_FOLLOWED /* ours: who grants keys */
+  CC_TABLE_CONFIG,    /* the operators' configuration */
+  CC_TABLE_UPSTREAMS, /* upstreams, registered by themselves */
+  CC_TABLE_STATE,     /* the router's: members, owners of key ranges */
+  CC_TABLE_FOLLOWED,  /* number of followed tables */
+  CC_TABLE_LEASE = CC_TABLE_FOLLOWED /* the router's: the granter's lease */
 } CcTableName;
 
 typedef struct CcTable CcTable;
 
-/* Answer to a read or a watch: the rows, a(sts) of key, version and value ("":
- * deleted), and the service's newest version.
- * STATUS: CC_OK; CC_GONE: the history asked for is forgotten, read anew;
- * CC_UNREACHABLE otherwise, with WHY in words. */
+/* Result of a read or a watch: ROWS, a(sts) of key, version and value ("":
+ * deleted), and UPTO, the service's newest version.  STATUS is CC_OK; CC_GONE:
+ * the service has discarded the history, so the table must be read whole; or
+ * CC_UNREACHABLE, with the reason in WHY. */
 typedef void (*CcTableRows) (CcStatus status, GVariant *rows, guint64 upto,
                              const char *why, gpointer data);
 
-/* Answer to a change.  CC_OK with the VERSION of the transaction; CC_CONFLICT:
- * a condition failed, nothing written; CC_FULL, CC_UNREACHABLE: nothing
- * written; CC_UNKNOWN: the answer was lost, it may be written even later. */
+/* Result of a change.  STATUS is CC_OK, with the VERSION of the transaction;
+ * CC_CONFLICT: a condition failed and nothing was written; CC_FULL or
+ * CC_UNREACHABLE: nothing was written; or CC_UNKNOWN: the answer was lost, and
+ * the change may take effect even later. */
 typedef void (*CcTableChanged) (CcStatus status, guint64 version,
                                 gpointer data);
 
-/* One transaction in the making. */
+/* A transaction that is being prepared. */
 typedef struct CcTableChange CcTableChange;
 
 CcTable *cc_table_new (CcHttp *http, const char *address);
--- a/test/test_edge.c
+++ b/test/test_edge.c
@@ -1,6 +1,6 @@
-/* What is read from rows and answers that others write, good and bad.  A row
- * that can't be read names no upstream and the others hold; a configuration
- * that can't be read leaves the one in force. */
+/* Guards against wrong results from valid or damaged rows and answers of other
+ * programs: a damaged listing is no upstream, a damaged configuration is
+ * rejected, and an answer that is not the server's own has no known outcome. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -17,7 +17,7 @@
 {
   const char *name;
   const char *value;
-  gboolean names_one;
+  gboolean is_usable;
   gboolean leaving;
   guint slots;
   guint64 born;
@@ -27,7 +27,7 @@
 #define INFO "\"info\":{\"service\":\"p\",\"zone\":\"z\",\"slots\":4}"
 
 static const Listing listings[] = {
-  { "whole",
+  { "complete",
     "{\"address\":\"10.0.0.1:80\",\"born\":1700000000123," INFO
     ",\"status\":{\"state\":\"ready\",\"sequence\":4,\"warmupLeftMs\":700}}",
     TRUE, FALSE, 4, 1700000000123, 700 },
@@ -70,13 +70,13 @@
     ",\"status\":{\"state\":\"ready\",\"warmupLeftMs\":[]}}",
     TRUE, FALSE, 4, 0, 0 },
   { "not an object", "[1]", FALSE, FALSE, 0, 0, 0 },
-  { "cut short", "{\"address\":\"10.0.0.1:80\",", FALSE, FALSE, 0, 0, 0 },
+  { "truncated", "{\"address\":\"10.0.0.1:80\",", FALSE, FALSE, 0, 0, 0 },
   { "empty", "", FALSE, FALSE, 0, 0, 0 },
   { "not JSON", "\xc3\xa9", FALSE, FALSE, 0, 0, 0 },
 };
 
 static void
-listings_are_read_as_the_cases_say (void **state)
+listings_are_parsed (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (listings); i++)
@@ -85,11 +85,11 @@
       CcListing l = { 0 };
       gboolean read = cc_edge_read_listing ("i-1", c->value, &l);
 
-      if (read != c->names_one)
+      if (read != c->is_usable)
         fail_msg ("%s: read %d", c->name, read);
       if (read && (l.leaving != c->leaving || l.slots != c->slots ||
                    l.born != c->born || l.cold_for != c->cold_ms * CC_MS))
-        fail_msg ("%s: read wrong", c->name);
+        fail_msg ("%s: wrong fields", c->name);
       cc_listing_clear (&l);
     }
 }
@@ -105,7 +105,7 @@
 };
 
 static void
-a_damaged_configuration_is_none (void **state)
+a_damaged_configuration_is_rejected (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (damaged); i++)
@@ -118,7 +118,7 @@
 }
 
 static void
-a_configuration_is_read (void **state)
+a_configuration_is_parsed (void **state)
 {
   static const char text[] =
       "{\"version\":\"0000001f\",\"routes\":{"
@@ -181,19 +181,19 @@
     TRUE,
     CC_SERVER_SHED,
     FALSE },
-  { "shed without echo, new connection",
+  { "shed without ID, new connection",
     503,
     { "X-Not-Executed=1" },
     FALSE,
     CC_SERVER_SHED,
     FALSE },
-  { "shed without echo, kept connection",
+  { "shed without ID, reused connection",
     503,
     { "X-Not-Executed=1" },
     TRUE,
     CC_SERVER_MISMATCHED,
     FALSE },
-  { "503 that promises nothing",
+  { "503 that may have run",
     503,
     { "X-Request-Id=r1" },
     FALSE,
@@ -205,7 +205,7 @@
     TRUE,
     CC_SERVER_MISDIRECTED,
     FALSE },
-  { "another's echo",
+  { "ID of another request",
     200,
     { "X-Request-Id=r2", "X-Response-Signature=s" },
     FALSE,
@@ -217,7 +217,7 @@
     FALSE,
     CC_SERVER_MISMATCHED,
     FALSE },
-  { "load that is none",
+  { "damaged load",
     200,
     { "X-Request-Id=r1", "X-Response-Signature=s", "X-Server-Load=a,b" },
     FALSE,
@@ -226,7 +226,7 @@
 };
 
 static void
-answers_are_worth_what_the_cases_say (void **state)
+answers_are_classified (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (answers); i++)
@@ -237,7 +237,7 @@
       CcHttpResult r = { .end = CC_HTTP_ANSWERED,
                          .status = a->status,
                          .reused = a->reused };
-      CcServerReply word;
+      CcServerReply reply;
 
       for (guint k = 0; k < 3 && a->headers[k] != NULL; k++)
         {
@@ -246,15 +246,15 @@
           cc_headers_add (packed, parts[0], parts[1]);
         }
       r.headers = headers = cc_headers_take (packed);
-      cc_edge_read_server (&r, "r1", &word);
-      if (word.kind != a->kind || word.load.said != a->load)
-        fail_msg ("%s: kind %d", a->name, word.kind);
+      cc_edge_read_server (&r, "r1", &reply);
+      if (reply.kind != a->kind || reply.load.said != a->load)
+        fail_msg ("%s: kind %d", a->name, reply.kind);
     }
 }
 
-/* An instance may have a tenth of a core, and two seconds to have a
- * configuration in force; the rest of that is its transfer. */
-#define READ_WITHIN (125 * CC_MS) /* of processor time */
+/* An instance may have a tenth of a core and must have a configuration in force
+ * within two seconds; the remaining time is for its transfer. */
+#define PARSE_TIME_MAX (125 * CC_MS) /* of processor time */
 #define MANY_ROUTES 5600
 
 static gint64
@@ -282,10 +282,10 @@
   return g_string_free (s, FALSE);
 }
 
-/* Guards against a configuration whose reading takes time by the square of its
- * routes: a weak instance answers by the one before for seconds. */
+/* Guards against parsing in quadratic time of the number of routes, for which a
+ * weak instance would use the previous configuration for seconds. */
 static void
-a_large_configuration_is_read_in_time (void **state)
+a_large_configuration_is_parsed_in_time (void **state)
 {
   g_autofree char *value = many_routes ();
   gint64 least = G_MAXINT64;
@@ -302,7 +302,7 @@
       assert_int_equal (r->count, MANY_ROUTES);
       cc_routes_free (r);
     }
-  if (least > READ_WITHIN)
+  if (least > PARSE_TIME_MAX)
     fail_msg ("%d routes took %d ms of processor time", MANY_ROUTES,
               (int) (least / CC_MS));
 }
@@ -311,11 +311,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (listings_are_read_as_the_cases_say),
-    cmocka_unit_test (a_damaged_configuration_is_none),
-    cmocka_unit_test (a_configuration_is_read),
-    cmocka_unit_test (a_large_configuration_is_read_in_time),
-    cmocka_unit_test (answers_are_worth_what_the_cases_say),
+    cmocka_unit_test (listings_are_parsed),
+    cmocka_unit_test (a_damaged_configuration_is_rejected),
+    cmocka_unit_test (a_configuration_is_parsed),
+    cmocka_unit_test (a_large_configuration_is_parsed_in_time),
+    cmocka_unit_test (answers_are_classified),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_store.c
+++ b/test/test_store.c
@@ -1,5 +1,5 @@
-/* What a reading of the table service takes for rows, against a server that
- * answers as told. */
+/* Guards against damaged answers of the table service that are taken for rows;
+ * against a server that sends given bodies. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -16,7 +16,7 @@
   const char *name;
   const char *body;
   CcStatus status;
-  guint rows; /* of a reading that counts */
+  guint rows; /* of a successful read */
 } Case;
 
 #define TAIL ",\"hasMore\":false,\"rowVersion\":5,\"nowMs\":1}"
@@ -28,15 +28,15 @@
   { "a deleted row",
     "{\"rows\":[{\"key\":\"k\",\"tombstone\":true,\"rowVersion\":4}]" TAIL,
     CC_OK, 1 },
-  { "no list", "{\"hasMore\":false,\"rowVersion\":5,\"nowMs\":1}",
+  { "no rows member", "{\"hasMore\":false,\"rowVersion\":5,\"nowMs\":1}",
     CC_UNREACHABLE, 0 },
-  { "a list that is null", "{\"rows\":null" TAIL, CC_UNREACHABLE, 0 },
-  { "a list that is an object", "{\"rows\":{}" TAIL, CC_UNREACHABLE, 0 },
-  { "a row that is none", "{\"rows\":[" ROW ",7]" TAIL, CC_UNREACHABLE, 0 },
+  { "rows are null", "{\"rows\":null" TAIL, CC_UNREACHABLE, 0 },
+  { "rows are an object", "{\"rows\":{}" TAIL, CC_UNREACHABLE, 0 },
+  { "a row that is a number", "{\"rows\":[" ROW ",7]" TAIL, CC_UNREACHABLE, 0 },
   { "a row without a key",
     "{\"rows\":[{\"value\":\"dQ==\",\"rowVersion\":3}]" TAIL, CC_UNREACHABLE,
     0 },
-  { "more after nothing",
+  { "more rows after an empty page",
     "{\"rows\":[],\"hasMore\":true,\"rowVersion\":5,\"nowMs\":1}",
     CC_UNREACHABLE, 0 },
 };
@@ -123,10 +123,10 @@
   o->rows = (guint) g_variant_n_children (rows);
 }
 
-/* Guards against an answer without rows, or with a damaged one, that passes for
- * a whole table: keys whose rows it lacks are given away as nobody's. */
+/* Guards against an answer without rows, or with a damaged row, that is taken
+ * for a whole table: keys whose rows are missing are granted as unassigned. */
 static void
-a_damaged_answer_is_no_reading (void **state)
+a_damaged_answer_is_rejected (void **state)
 {
   CcTable *t = cc_table_new (cc_http_new ("127.0.0.1"), server.address);
 
@@ -154,7 +154,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_damaged_answer_is_no_reading),
+    cmocka_unit_test (a_damaged_answer_is_rejected),
   };
 
   return cmocka_run_group_tests (tests, start_server, NULL);
