--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -1,7 +1,6 @@
-/* How a copy of the rows keeps up over a link that carries a large row for
- * longer than a small one's time limit.  Failure: the transfer is given up
- * before its end and begins again, from each source, so that callers are
- * answered by a configuration that was replaced seconds ago. */
+/* Guards against a copy that does not keep up over a slow link: the transfer of
+ * a large row takes longer than the timeout of a small one, is aborted and
+ * restarted from each source, and requests use a replaced configuration. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -16,26 +15,27 @@
 #include "free_net.h"
 #include "mirror_state.h"
 
-/* The least time within which operators have a configuration in force. */
+/* The shortest time in which a configuration must be in force. */
 #define IN_FORCE_WITHIN (2 * CC_SECOND)
 #define RANDOM_NAME 300 /* letters */
-#define QUESTION_AGE (800 * CC_MS)
-#define READING_TIME (450 * CC_MS)
+#define REQUEST_AGE (800 * CC_MS)
+#define APPLY_TIME (450 * CC_MS)
 #define TICK_MS 10
 #define PORT 7300
-#define DAMAGED_LEAST 10000 /* bytes */
+#define DAMAGED_MIN 10000 /* bytes */
 
 /* An instance's link of 10 Mbit/s. */
 #define SLOW_LINK 1250000 /* bytes a second */
 
-/* The answer to REQUEST, which has waited for HELD us, or NULL: not yet. */
+/* Returns the answer to REQUEST, which has waited for HELD us, or NULL while it
+ * must wait. */
 typedef GBytes *(*Respond) (const char *request, gint64 held);
 
-/* What carries the answers of some servers to one process. */
+/* A link, shared by the answers of several servers to one process. */
 typedef struct
 {
   guint rate; /* bytes a second */
-  guint busy; /* answers on their way */
+  guint busy; /* answers in transit */
 } Link;
 
 typedef struct
@@ -46,7 +46,7 @@
   Respond respond;
   GPtrArray *calls; /* of Call */
   guint tick;       /* source of the main loop */
-  gint64 ticked;    /* us of the last tick */
+  gint64 ticked;    /* time of the last tick, us */
 } Server;
 
 typedef struct
@@ -62,14 +62,15 @@
 static struct
 {
   GString *configuration;
-  guint64 version; /* of its row */
+  guint64 version; /* of the configuration's row */
   CcMirror *source;
-  GPtrArray *servers;  /* of Server, that listen */
-  gint64 reading_time; /* of the configuration by the leaf, us */
-  gboolean damages;    /* the peer's answers, where they are large */
-  gboolean holds;      /* questions to the peer wait */
-  guint64 upstream;    /* version at which one is listed; 0: it is not */
-  guint64 deleted;     /* version at which its row was deleted; 0: never */
+  GPtrArray *servers; /* of Server: those that listen */
+  gint64
+      apply_time; /* time that the leaf takes to apply the configuration, us */
+  gboolean damage_answers; /* large answers of the peer are damaged */
+  gboolean hold_requests;  /* requests to the peer are held */
+  guint64 upstream;        /* version of the upstream's row; 0: there is none */
+  guint64 deleted;         /* version of that row's deletion; 0: never */
 } world;
 
 /* ---- servers ---- */
@@ -87,7 +88,7 @@
   g_free (c);
 }
 
-/* How long the question in REQUEST waits for news, ms. */
+/* Returns how long REQUEST may wait for an update, ms. */
 static gint64
 wait_of (const char *request)
 {
@@ -213,7 +214,7 @@
   return v;
 }
 
-/* Copies of earlier tests find nobody any more. */
+/* Stops all servers, so that copies of earlier tests reach none. */
 static void
 stop_servers (void)
 {
@@ -242,8 +243,8 @@
   return g_string_free_to_bytes (s);
 }
 
-/* Appends the row of the upstream, if REQUEST is about it and it has changed
- * after SINCE; a deleted row is told to those who watch only. */
+/* Appends the row of the upstream if REQUEST reads its table and the row has
+ * changed after SINCE; a deleted row is sent to watches only. */
 static void
 append_upstream (GString *s, const char *request, guint64 since)
 {
@@ -263,7 +264,8 @@
         world.deleted);
 }
 
-/* The table service: the configuration, and an upstream. */
+/* Answers as the table service, which holds the configuration and an upstream.
+ */
 static GBytes *
 respond_as_table (const char *request, gint64 held)
 {
@@ -301,18 +303,18 @@
   return http_answer (body);
 }
 
-/* BODY with a byte changed within its rows, if they are large. */
+/* Returns BODY with a byte in its rows changed if it is large. */
 static GBytes *
 damage (GBytes *body)
 {
   GByteArray *a = g_bytes_unref_to_array (body);
 
-  if (a->len > DAMAGED_LEAST)
+  if (a->len > DAMAGED_MIN)
     a->data[a->len / 2] ^= 0x55;
   return g_byte_array_free_to_bytes (a);
 }
 
-/* A peer with the copy of the source. */
+/* Answers as a peer with the copy of the source. */
 static GBytes *
 respond_as_peer (const char *request, gint64 held)
 {
@@ -326,10 +328,11 @@
   parts = g_strsplit_set (at + strlen ("since="), ",&", -1);
   for (guint i = 0; i < CC_MIRROR_VERSIONS && parts[i] != NULL; i++)
     since[i] = g_ascii_strtoull (parts[i], NULL, 10);
-  if (world.holds || (in_time && !cc_mirror_has_updates (world.source, since)))
+  if (world.hold_requests ||
+      (in_time && !cc_mirror_has_updates (world.source, since)))
     return NULL;
   body = cc_mirror_rows_since (world.source, since, held);
-  if (world.damages)
+  if (world.damage_answers)
     body = damage (g_steal_pointer (&body));
   return http_answer (body);
 }
@@ -340,7 +343,7 @@
 on_rows (CcTableName name, gpointer data)
 {
   if (name == CC_TABLE_CONFIG && data != NULL)
-    g_usleep ((gulong) world.reading_time);
+    g_usleep ((gulong) world.apply_time);
 }
 
 static char *
@@ -351,14 +354,14 @@
 }
 
 static char *
-the_peer (CcPeerKind kind, gpointer data)
+choose_peer (CcPeerKind kind, gpointer data)
 {
   (void) kind;
   return g_strdup (((Server *) data)->address);
 }
 
 static void
-on_peer_ended (const char *address, gboolean answered, gpointer data)
+on_peer_result (const char *address, gboolean answered, gpointer data)
 {
   (void) address, (void) answered, (void) data;
 }
@@ -375,8 +378,8 @@
       &(CcMirrorSetup){ .table = cc_table_new (http, table->address),
                         .http = http,
                         .changed = on_rows,
-                        .peer = peer != NULL ? the_peer : no_peer,
-                        .peer_result = on_peer_ended,
+                        .peer = peer != NULL ? choose_peer : no_peer,
+                        .peer_result = on_peer_result,
                         .data = peer });
   cc_mirror_set_role (m, &(CcMirrorRole){ .is_followed = distance == 0,
                                           .reads_all = distance == 0,
@@ -395,7 +398,8 @@
   return row != NULL ? row->version : 0;
 }
 
-/* Returns FALSE if M does not have VERSION within SPAN us. */
+/* Runs until M has VERSION, for SPAN us at most; returns FALSE if it has not.
+ */
 static gboolean
 wait_for_version (CcMirror *m, guint64 version, gint64 span)
 {
@@ -419,8 +423,8 @@
   return name;
 }
 
-/* Gives the configuration COUNT routes, as operators write them, or with long
- * random prefixes. */
+/* Writes a configuration of COUNT routes, with typical prefixes or with long
+ * random ones. */
 static void
 write_configuration (guint count, gboolean random)
 {
@@ -450,17 +454,18 @@
 } Case;
 
 static const Case cases[] = {
-  { "by a peer, a few routes", TRUE, 0, 5, FALSE },
-  { "by a peer, 2,800 routes", TRUE, 0, 2800, FALSE },
-  { "by a peer, 5,600 routes", TRUE, 0, 5600, FALSE },
-  { "by a peer, 2,800 routes of random names", TRUE, 0, 2800, TRUE },
-  { "by the table, 2,800 routes", FALSE, 0, 2800, FALSE },
-  { "by the table, 5,600 routes", FALSE, 0, 5600, FALSE },
-  { "by a peer that is much slower than the table", TRUE, 5000, 2800, FALSE },
+  { "from a peer, a few routes", TRUE, 0, 5, FALSE },
+  { "from a peer, 2,800 routes", TRUE, 0, 2800, FALSE },
+  { "from a peer, 5,600 routes", TRUE, 0, 5600, FALSE },
+  { "from a peer, 2,800 routes with random names", TRUE, 0, 2800, TRUE },
+  { "from the table service, 2,800 routes", FALSE, 0, 2800, FALSE },
+  { "from the table service, 5,600 routes", FALSE, 0, 5600, FALSE },
+  { "from a peer that is much slower than the table service", TRUE, 5000, 2800,
+    FALSE },
 };
 
-/* A leaf that has the first configuration, and follows as C says; PORT and the
- * next three are its servers'. */
+/* Returns a leaf that has the first configuration and follows as in case C; its
+ * servers use PORT and the next two. */
 static CcMirror *
 leaf_new (const Case *c, guint port)
 {
@@ -470,8 +475,8 @@
   CcMirror *leaf;
 
   stop_servers ();
-  world.damages = FALSE;
-  world.reading_time = 0;
+  world.damage_answers = FALSE;
+  world.apply_time = 0;
   table = server_new (port, NULL, respond_as_table);
   slow_table = server_new (port + 1, own, respond_as_table);
   peer = server_new (port + 2, c->peer_rate > 0 ? peers : own, respond_as_peer);
@@ -480,13 +485,14 @@
   assert_true (wait_for_version (world.source, world.version, CC_SECOND));
   leaf = mirror_new (slow_table, c->by_peer ? peer : NULL, c->by_peer ? 2 : 0);
   assert_true (wait_for_version (leaf, world.version, CC_SECOND));
-  /* News that come while a question waits leave the answer the least time. */
-  wait_for_version (leaf, world.version + 1, QUESTION_AGE);
+  /* An update that arrives late in the wait of a request leaves its answer the
+   * least time. */
+  wait_for_version (leaf, world.version + 1, REQUEST_AGE);
   return leaf;
 }
 
-/* Guards against a configuration that never arrives, since its transfer takes
- * longer than a small answer may, or waits for a slow peer. */
+/* Guards against a configuration that never arrives because its transfer takes
+ * longer than the timeout of a small answer, or waits for a slow peer. */
 static void
 a_large_configuration_arrives_over_a_slow_link (void **state)
 {
@@ -503,34 +509,34 @@
     }
 }
 
-/* Guards against an answer with a damaged row that passes for a good one: the
- * copy would be taken for new, and the same be asked again without end. */
+/* Guards against an answer with a damaged row that is taken for a valid one:
+ * the copy would count as fresh, and the same rows be requested without end. */
 static void
-a_damaged_answer_is_refused (void **state)
+a_damaged_answer_is_rejected (void **state)
 {
   static const Case by_peer = { "", TRUE, 0, 2800, FALSE };
   CcMirror *leaf = leaf_new (&by_peer, PORT + 50);
 
   (void) state;
-  world.damages = TRUE;
+  world.damage_answers = TRUE;
   write_configuration (by_peer.routes, FALSE);
   assert_true (wait_for_version (leaf, world.version, IN_FORCE_WITHIN));
 }
 
-/* Guards against a copy that passes for newer than it is by the time in which
- * its process reads a configuration. */
+/* Guards against a copy that counts as fresher than it is by the time in which
+ * its process parses a configuration. */
 static void
-a_copy_ages_while_it_is_read (void **state)
+a_copy_ages_while_it_is_applied (void **state)
 {
   static const Case by_peer = { "", TRUE, 0, 2800, FALSE };
   CcMirror *leaf = leaf_new (&by_peer, PORT + 60);
 
   (void) state;
-  world.reading_time = READING_TIME;
+  world.apply_time = APPLY_TIME;
   write_configuration (by_peer.routes, FALSE);
   assert_true (wait_for_version (leaf, world.version, IN_FORCE_WITHIN));
-  if (leaf->fresh_at > world.source->fresh_at + READING_TIME / 4)
-    fail_msg ("the copy is told to be %d ms newer than its source's",
+  if (leaf->fresh_at > world.source->fresh_at + APPLY_TIME / 4)
+    fail_msg ("the copy counts as %d ms fresher than its source's",
               (int) ((leaf->fresh_at - world.source->fresh_at) / CC_MS));
 }
 
@@ -540,8 +546,8 @@
   return cc_view_get (cc_mirror_view (m, CC_TABLE_UPSTREAMS), "u") != NULL;
 }
 
-/* Guards against a row that stays for ever: it is deleted, and the peer that is
- * followed from then on read the table after that and never had it. */
+/* Guards against a row that is kept for good: it is deleted, and the peer that
+ * is followed from then on read the table after that and never had it. */
 static void
 a_copy_drops_what_its_new_peer_never_had (void **state)
 {
@@ -553,13 +559,13 @@
   world.upstream = world.version + 1; /* with the first configuration */
   leaf = leaf_new (&by_peer, PORT + 70);
   assert_true (has_upstream (leaf));
-  world.holds = TRUE;
+  world.hold_requests = TRUE;
   world.upstream = 0;
   write_configuration (5, FALSE);
   world.deleted = world.version;
   world.source = mirror_new (world.servers->pdata[0], NULL, 0);
   assert_true (wait_for_version (world.source, world.version, CC_SECOND));
-  world.holds = FALSE;
+  world.hold_requests = FALSE;
   assert_true (wait_for_version (leaf, world.version, IN_FORCE_WITHIN));
   end = cc_clock_now () + IN_FORCE_WITHIN;
   while (has_upstream (leaf) && cc_clock_now () < end)
@@ -581,8 +587,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (a_large_configuration_arrives_over_a_slow_link),
-    cmocka_unit_test (a_damaged_answer_is_refused),
-    cmocka_unit_test (a_copy_ages_while_it_is_read),
+    cmocka_unit_test (a_damaged_answer_is_rejected),
+    cmocka_unit_test (a_copy_ages_while_it_is_applied),
     cmocka_unit_test (a_copy_drops_what_its_new_peer_never_had),
   };
 
