--- a/follower.c
+++ b/follower.c
@@ -75,6 +75,8 @@
   return f;
 }
 
+/* Puts the configuration in ROW in force; a damaged one is logged and ignored.
+ * */
 static void
 apply_document (CcFollower *f, const CcRow *row)
 {
@@ -101,6 +103,8 @@
   cc_findings_clear (&findings);
 }
 
+/* Parses the map in ROW unless the held one is as new; a damaged one is
+ * ignored. */
 static void
 apply_map (CcFollower *f, const CcRow *row)
 {
@@ -115,6 +119,8 @@
     g_hash_table_insert (f->maps, g_strdup (pool), m);
 }
 
+/* Parses the member in ROW and connects to its mailbox; a damaged row is
+ * ignored. */
 static void
 apply_member (CcFollower *f, const CcRow *row)
 {
@@ -142,6 +148,7 @@
     cc_mailbox_connect (f->mailbox, m->address);
 }
 
+/* Updates the configuration, the maps and the members from the view. */
 static void
 apply_view (CcFollower *f)
 {
@@ -158,6 +165,7 @@
     apply_member (f, members->pdata[i]);
 }
 
+/* Sends the peer at ADDRESS the rows that it has not been sent yet. */
 static void
 send_rows (CcFollower *f, const char *address, Subscriber *s)
 {
@@ -173,6 +181,8 @@
     s->upto = f->view.upto;
 }
 
+/* Sends new rows to all subscribers and removes those that have stopped
+ * polling. */
 static void
 send_rows_to_subscribers (CcFollower *f)
 {
@@ -215,6 +225,8 @@
     notify_changed (f);
 }
 
+/* Sends the single row ROW to the member TO, which applies it if its view is
+ * complete up to SINCE. */
 static void
 send_row (CcFollower *f, const CcMember *to, const CcRow *row, guint64 since)
 {
@@ -229,6 +241,8 @@
   cc_mailbox_send (f->mailbox, to->address, &m);
 }
 
+/* Returns the highest version of the rows of V whose keys start with PREFIX,
+ * including deleted ones. */
 static guint64
 newest_of (const CcView *v, const char *prefix)
 {
@@ -273,12 +287,12 @@
 record_platform_state (CcFollower *f, gboolean answered)
 {
   gint64 now = cc_clock_now ();
-  gboolean silent =
+  gboolean timed_out =
       !answered && now - f->platform_answered_at > PLATFORM_OUTAGE_AFTER;
 
   if (answered)
     f->platform_answered_at = now;
-  if (answered != f->logged_reachable && (answered || silent))
+  if (answered != f->logged_reachable && (answered || timed_out))
     {
       f->logged_reachable = answered;
       cc_log (answered ? CC_LOG_INFO : CC_LOG_WARNING, "platform",
@@ -312,6 +326,8 @@
   cc_platform_changes (f->platform, f->view.upto, f->skip, on_polled, f);
 }
 
+/* Requests from the peer at ADDRESS the rows that are newer than the view, if
+ * the peer is connected. */
 static void
 send_sync (CcFollower *f, const char *address)
 {
@@ -381,6 +397,8 @@
   g_timeout_add (TICK_MS, on_tick, f);
 }
 
+/* Registers the sender of a SYNC as a subscriber and sends it the newer rows.
+ * */
 static void
 answer_sync (CcFollower *f, const CcMessage *m)
 {
--- a/members.c
+++ b/members.c
@@ -137,6 +137,7 @@
   cc_timer_start (&m->registering, REGISTER_RETRY, on_register, m);
 }
 
+/* Returns the value of this process's row; the caller frees it. */
 static char *
 own_value (const CcMembers *m)
 {
@@ -181,6 +182,8 @@
             cc_event_int ((gint64) row->version), NULL);
 }
 
+/* Parses a member's row.  A row that can't be parsed gives a member without
+ * address. */
 static Member
 read_member (const CcRow *row)
 {
@@ -250,6 +253,7 @@
     }
 }
 
+/* Returns TRUE if ADDRESS is the granter's; NULL means that there is none. */
 static gboolean
 is_granter_at (const CcMembers *m, const char *address)
 {
@@ -338,6 +342,7 @@
   return newest;
 }
 
+/* Replaces the list of members by ROWS and sets the rank of this process. */
 static void
 read_members (CcMembers *m, const GPtrArray *rows)
 {
@@ -519,6 +524,8 @@
   return g_strdup (from->pdata[g_random_int_range (0, (gint32) from->len)]);
 }
 
+/* Returns the address of the peer to follow, or NULL at the granter or if there
+ * is no granter; the caller frees it. */
 static char *
 followed (const CcMembers *m)
 {
--- a/mirror.c
+++ b/mirror.c
@@ -167,6 +167,8 @@
     }
 }
 
+/* Records an answer of the service about T: updates freshness and outage times,
+ * and ends an outage of T. */
 static void
 record_answer (CcMirrorTable *t)
 {
@@ -194,6 +196,7 @@
     query_other_tables (m);
 }
 
+/* Returns the maximum of the pause after failed calls, us. */
 static gint64
 retry_pause_max (const CcMirror *m)
 {
@@ -202,6 +205,8 @@
   return MIN (RETRY_MAX * m->role.fleet / SMALL_FLEET, RETRY_MAX_LARGE);
 }
 
+/* Returns the minimum of the first pause after a failure, us; 0 where RETRY_MIN
+ * applies. */
 static gint64
 retry_pause_first (const CcMirror *m)
 {
@@ -252,6 +257,8 @@
   return last;
 }
 
+/* Records that the last call about T failed for the reason WHY, schedules the
+ * retry, and polls peers meanwhile. */
 static void
 record_failure (CcMirrorTable *t, const char *why)
 {
@@ -279,6 +286,8 @@
   cc_mirror_poll_peers (m);
 }
 
+/* Stores a row in T and adds it to the changed rows.  Returns FALSE if it is
+ * not newer than the one held. */
 static gboolean
 put_row (CcMirrorTable *t, const char *key, guint64 version, const char *value)
 {
@@ -384,6 +393,8 @@
   return update_pause[t->name];
 }
 
+/* A watch has ended: applies its rows and continues, or reads the table whole
+ * if the service has discarded the history. */
 static void
 on_watch_done (CcStatus status, GVariant *rows, guint64 upto, const char *why,
                gpointer data)
@@ -425,6 +436,7 @@
   watch (t);
 }
 
+/* A read of the whole table has ended: applies it and begins to watch. */
 static void
 on_read_done (CcStatus status, GVariant *rows, guint64 upto, const char *why,
               gpointer data)
--- a/mirror.h
+++ b/mirror.h
@@ -8,7 +8,8 @@
 #include "view.h"
 
 typedef struct CcMirror CcMirror;
-/* Called after rows of table NAME changed; cc_mirror_changed lists them. */
+/* Called after rows of table NAME changed, which cc_mirror_changed lists, or,
+ * with CC_TABLE_LEASE, after a newer version of the lease's row was learned. */
 typedef void (*CcMirrorChanged) (CcTableName name, gpointer data);
 /* Which peer is requested from the CcMirrorPeer callback. */
 typedef enum
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -35,10 +35,10 @@
 #define MAX_AGE (1100 * CC_MS)
 #define MAX_AGE_RELAYED (1600 * CC_MS)
 /* Longest wait of a request for an update.  The granter renews its lease more
- * often, so that most requests are answered by a renewal. */
+ * often, so that most requests are answered by a renewal.  FOLLOW_TIMEOUT is
+ * added to the wait; a peer answers in 10 ms. */
 #define FOLLOW_WAIT (900 * CC_MS)
-#define FOLLOW_TIMEOUT                                                         \
-  (250 * CC_MS) /* beyond the wait; a peer answers in 10 ms */
+#define FOLLOW_TIMEOUT (250 * CC_MS)
 /* The timeout is extended while an answer keeps arriving, up to a limit, so
  * that a relay with a slow link does not leave its followers without updates.
  */
@@ -119,6 +119,8 @@
   GVariant *rows; /* a(sts) */
 } PeerTable;
 
+/* Applies one table of a peer's answer to T.  An answer from version 0 on holds
+ * the whole table. */
 static void
 apply_peer_table (CcMirrorTable *t, const PeerTable *p)
 {
@@ -359,7 +361,7 @@
 
   m->shared_outage = outage >= 0 && outage <= age;
   /* Whether the copy would be stale before another request timed out. */
-  gboolean is_getting_old =
+  gboolean will_be_stale =
       now - m->fresh_at + FOLLOW_WAIT_MIN + FOLLOW_TIMEOUT > max_age (m);
 
   if (awaits_rows (m))
@@ -376,7 +378,7 @@
       cc_timer_start (&m->follow_timer, LOST_RETRY_PERIOD, on_follow_timer, m);
       return;
     }
-  if (is_getting_old && now >= m->next_refresh)
+  if (will_be_stale && now >= m->next_refresh)
     {
       m->next_refresh = now + REFRESH_PERIOD;
       refresh (m);
@@ -404,6 +406,8 @@
     }
 }
 
+/* The request to the followed peer has ended: continues to follow, or handles
+ * the loss of the peer. */
 static void
 on_followed_answer (const CcHttpResult *r, gpointer data)
 {
@@ -465,6 +469,8 @@
   return m->following;
 }
 
+/* Polls any peer, again each PEER_POLL_PERIOD, while a call to the service
+ * fails. */
 static void
 on_poll_timer (gpointer data)
 {
--- a/peer_server.c
+++ b/peer_server.c
@@ -27,6 +27,7 @@
   CcTimer timer;
 } Waiter;
 
+/* Answers the request M with the rows after SINCE; it was held for HELD us. */
 static void
 send_answer (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
              gint64 held)
@@ -38,6 +39,8 @@
                                   rows);
 }
 
+/* Answers a pending request and frees it, on an update or when its wait is
+ * over. */
 static void
 answer_waiter (gpointer data)
 {
@@ -52,6 +55,7 @@
   g_free (w);
 }
 
+/* Holds the request M until the next update, for WAIT us at most. */
 static void
 add_waiter (CcPeerServer *p, SoupServerMessage *m, const guint64 *since,
             gint64 wait)
--- a/platform.c
+++ b/platform.c
@@ -152,6 +152,7 @@
   c->maybe_sent = TRUE;
 }
 
+/* Prepares a call with the current timeout; DATA is passed to its callback. */
 static Call *
 call_new (CcPlatform *p, const char *method, const char *path, gpointer data)
 {
--- a/row_codec.c
+++ b/row_codec.c
@@ -10,8 +10,7 @@
 #include <gio/gio.h>
 #include <string.h>
 
-#define DEFLATE_MIN 4096 /* bytes; smaller values fit into a few TCP segments  \
-                          */
+#define DEFLATE_MIN 4096 /* bytes; smaller values fit into a few segments */
 #define DEFLATE_LEVEL 1
 #define VALUE_MAX ((gsize) 4 * 1024 * 1024) /* bytes of one row's value */
 #define CHUNK 32768                         /* bytes */
@@ -71,6 +70,8 @@
   return (char *) g_byte_array_free (out, FALSE);
 }
 
+/* Adds ROW to B, compressed if it is large; the compressed value is cached in
+ * ROW. */
 static void
 encode_row (GVariantBuilder *b, CcRow *row)
 {
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -11,6 +11,7 @@
 
 /* ---- the service ---- */
 
+/* Writes a row to the simulated service; a VALUE of NULL deletes it. */
 void
 world_write_row (CcTableName name, const char *key, const char *value)
 {
@@ -18,6 +19,7 @@
   world.tables[name].upto = world.newest;
 }
 
+/* Writes the next configuration. */
 void
 world_write_config (void)
 {
@@ -27,6 +29,7 @@
   world_write_row (CC_TABLE_CONFIG, "config", value);
 }
 
+/* Writes the granter's row. */
 void
 world_write_granter (void)
 {
@@ -480,6 +483,7 @@
   return (gint64) (g_rand_double_range (world.rand, 0.1, most) * CC_SECOND);
 }
 
+/* Starts and ends random faults of N. */
 static void
 fail_node (Node *n, gint64 now)
 {
@@ -513,6 +517,7 @@
     n->connected_since = now;
 }
 
+/* Starts an outage of the service for all nodes. */
 static void
 fail_service (gint64 now)
 {
@@ -554,6 +559,7 @@
   world_write_granter ();
 }
 
+/* Checks that N's configuration does not go back and is recent enough. */
 void
 world_check_node (Node *n, gint64 now)
 {
@@ -801,6 +807,7 @@
     }
 }
 
+/* Runs SEED for STEPS steps, or until a check has set world.failure. */
 void
 world_run_seed (guint seed, Answers answers)
 {
@@ -835,6 +842,7 @@
     }
 }
 
+/* Frees the simulated fleet. */
 void
 world_clear (void)
 {
@@ -848,6 +856,7 @@
   g_rand_free (world.rand);
 }
 
+/* Runs without random faults until the time UNTIL, us. */
 void
 world_run_until (gint64 until)
 {
