--- a/edge.h
+++ b/edge.h
@@ -28,7 +28,7 @@
   CC_SERVER_ANSWERED,    /* the server's own answer; the request has run */
   CC_SERVER_SHED,        /* refused for load or lack of time; not run */
   CC_SERVER_MISDIRECTED, /* another server, or not the key's owner; not run */
-  CC_SERVER_MISMATCHED   /* not an answer to this request; outcome unknown */
+  CC_SERVER_MISMATCHED   /* not the server's answer to this request; unknown */
 } CcServerReplyKind;
 
 typedef struct
--- a/follower.c
+++ b/follower.c
@@ -287,12 +287,12 @@
 record_platform_state (CcFollower *f, gboolean answered)
 {
   gint64 now = cc_clock_now ();
-  gboolean timed_out =
+  gboolean is_outage =
       !answered && now - f->platform_answered_at > PLATFORM_OUTAGE_AFTER;
 
   if (answered)
     f->platform_answered_at = now;
-  if (answered != f->logged_reachable && (answered || timed_out))
+  if (answered != f->logged_reachable && (answered || is_outage))
     {
       f->logged_reachable = answered;
       cc_log (answered ? CC_LOG_INFO : CC_LOG_WARNING, "platform",
--- a/members.c
+++ b/members.c
@@ -25,7 +25,7 @@
 #define RELAYS 3         /* in each zone; two may be lost at once */
 #define RELAYS_MIN 2     /* enough if all further candidates are weak */
 #define FOLLOWERS_MAX 40 /* of a relay, on average */
-#define WEAK_PART 0.5    /* with less of the next stronger's cores it is weak */
+#define WEAK_PART 0.5    /* less than this part of the previous one's cores */
 #define FIRST_READERS 3  /* members that read all tables when they start */
 /* A relay that did not answer is skipped for this time, which doubles with each
  * failure. */
--- a/roster.h
+++ b/roster.h
@@ -1,5 +1,5 @@
-/* A snapshot of the dispatchers, servers and instances that the assigner
- * distributes keys among. */
+/* A snapshot of the dispatchers, servers and instances that the assigner works
+ * with. */
 #ifndef CC_ROSTER_H
 #define CC_ROSTER_H
 
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -48,7 +48,7 @@
   q->by = by;
   q->sent_at = now;
   q->at = now + MAX (wait, kind == PEER_REQUEST ? PEER_TAKES : CALL_TAKES);
-  q->given_up = now + wait + (kind == WATCH ? WATCH_WITHIN : CALL_WITHIN);
+  q->timeout_at = now + wait + (kind == WATCH ? WATCH_WITHIN : CALL_WITHIN);
   q->dropped = kind != PEER_REQUEST && by->service == SILENT;
   g_ptr_array_add (world.requests, q);
   by->calls += kind != PEER_REQUEST;
@@ -129,7 +129,7 @@
     q->since[i] = g_ascii_strtoull (since, (char **) &since, 10), since++;
   q->peer = world_node_at (o->address);
   g_hash_table_add (q->peer->clients, q->by);
-  q->given_up = cc_clock_now () + o->answer_within;
+  q->timeout_at = cc_clock_now () + o->answer_within;
   q->done = done;
   q->data = data;
   return (CcHttpCall *) q;
@@ -138,9 +138,9 @@
 /* ---- answers ---- */
 
 static gboolean
-is_frozen (const Node *n)
+is_paused (const Node *n)
 {
-  return cc_clock_now () < n->frozen_until;
+  return cc_clock_now () < n->paused_until;
 }
 
 static gboolean
@@ -148,14 +148,14 @@
 {
   guint peer = (guint) (q->peer - world.nodes);
 
-  return !q->by->cut[peer] && !is_frozen (q->peer) && q->peer != q->by;
+  return !q->by->cut[peer] && !is_paused (q->peer) && q->peer != q->by;
 }
 
 /* Returns TRUE if Q watches from a version whose successors are discarded. */
 static gboolean
-is_forgotten (const Request *q)
+needs_discarded_history (const Request *q)
 {
-  return q->kind == WATCH && q->after < world.forgotten;
+  return q->kind == WATCH && q->after < world.discarded_upto;
 }
 
 static gboolean
@@ -163,7 +163,7 @@
 {
   if (q->kind == PEER_REQUEST)
     return cc_mirror_has_updates (q->peer->mirror, q->since);
-  return is_forgotten (q) ||
+  return needs_discarded_history (q) ||
          (q->kind == WATCH && world.tables[q->name].upto > q->after);
 }
 
@@ -203,7 +203,7 @@
   const CcView *v = &world.tables[q->name];
   guint64 after = q->after;
 
-  if (status == CC_OK && is_forgotten (q))
+  if (status == CC_OK && needs_discarded_history (q))
     {
       status = CC_GONE;
       after = world.newest;
@@ -218,7 +218,7 @@
 }
 
 static void
-end_rows (Request *q)
+deliver_rows (Request *q)
 {
   q->rows (q->status, q->given, q->upto, q->status == CC_OK ? "" : "away",
            q->data);
@@ -227,7 +227,7 @@
 
 /* Delivers Q's answer, or a timeout if there is none. */
 static void
-end_ask (Request *q)
+deliver_answer (Request *q)
 {
   CcHttpResult r = { .end = q->answer != NULL ? CC_HTTP_ANSWERED : CC_HTTP_LATE,
                      .why = "late",
@@ -239,10 +239,10 @@
 }
 
 static void
-lose_answer (Request *q)
+deliver_timeout (Request *q)
 {
   g_clear_pointer (&q->answer, g_bytes_unref);
-  end_ask (q);
+  deliver_answer (q);
 }
 
 /* Answers Q for the peer or the service if that is due and possible. */
@@ -270,16 +270,16 @@
 
 /* Times Q out. */
 static void
-lose_request (Request *q, gint64 now)
+time_out_request (Request *q, gint64 now)
 {
   if (q->kind == PEER_REQUEST)
     {
-      lose_answer (q);
+      deliver_timeout (q);
       return;
     }
   g_clear_pointer (&q->given, g_variant_unref);
   give_rows (q, CC_UNREACHABLE, now);
-  end_rows (q);
+  deliver_rows (q);
 }
 
 /* Returns TRUE if Q has ended.  A paused node receives no answer.  With
@@ -290,23 +290,23 @@
 {
   if (q->kind == PEER_REQUEST && q->arrived_at == 0 && is_reached (q))
     q->arrived_at = now;
-  if (is_frozen (q->by) && world.answers != ALL_LATE)
+  if (is_paused (q->by) && world.answers != ALL_LATE)
     return FALSE;
-  if (now < q->given_up)
+  if (now < q->timeout_at)
     give_answer (q, now);
-  if (is_frozen (q->by))
+  if (is_paused (q->by))
     return FALSE;
-  if (now >= q->given_up)
+  if (now >= q->timeout_at)
     {
-      lose_request (q, now);
+      time_out_request (q, now);
       return TRUE;
     }
   if ((q->answer == NULL && q->given == NULL) || now < q->arrives)
     return FALSE;
   if (q->kind == PEER_REQUEST)
-    end_ask (q);
+    deliver_answer (q);
   else
-    end_rows (q);
+    deliver_rows (q);
   return TRUE;
 }
 
@@ -358,7 +358,7 @@
 }
 
 static void
-end_peer (const char *address, gboolean answered, gpointer data)
+on_peer_result (const char *address, gboolean answered, gpointer data)
 {
   const Node *n = data;
 
@@ -497,7 +497,7 @@
       n->service_until = now + span (6);
     }
   if (chance (0.03))
-    n->frozen_until = now + span (3);
+    n->paused_until = now + span (3);
   if (chance (0.03))
     {
       for (guint i = 0; i < world.count; i++)
@@ -505,15 +505,15 @@
       n->cut_until = now + span (6);
     }
   if ((world.answers == PEERS_LATE || world.answers == ALL_LATE) &&
-      chance (LATE_A_SECOND))
+      chance (DELAYS_A_SECOND))
     {
-      n->late_by = span (LATE_MOST);
+      n->late_by = span (LATE_MAX_S);
       n->late_until = now + span (4);
     }
-  if (n->service != HEALTHY || is_frozen (n) ||
+  if (n->service != HEALTHY || is_paused (n) ||
       (world.answers == ALL_LATE && now < n->late_until))
     n->reachable_since = now;
-  if (now < n->cut_until || is_frozen (n))
+  if (now < n->cut_until || is_paused (n))
     n->connected_since = now;
 }
 
@@ -529,7 +529,7 @@
       world.nodes[i].service = how;
       world.nodes[i].service_until = until;
     }
-  world.service_calm = until;
+  world.service_outage_end = until;
 }
 
 /* Renews the lease while its holder reaches the service; otherwise another node
@@ -543,7 +543,7 @@
   guint successor =
       (guint) g_rand_int_range (world.rand, 0, (gint32) world.count);
 
-  if (g->service == HEALTHY && !is_frozen (g))
+  if (g->service == HEALTHY && !is_paused (g))
     {
       if (now < world.renewed + RENEWAL)
         return;
@@ -552,7 +552,7 @@
       return;
     }
   if (now < world.renewed + TERM || world.nodes[successor].service != HEALTHY ||
-      is_frozen (&world.nodes[successor]))
+      is_paused (&world.nodes[successor]))
     return;
   world.granter = successor;
   world.renewed = now;
@@ -574,12 +574,12 @@
   n->config = config;
   if (config == world.config)
     return;
-  if ((now - n->reachable_since > IN_TOUCH &&
-       now - world.service_calm > IN_TOUCH &&
-       now - world.changed[config + 1] > APPLIED) ||
-      (now - n->connected_since > APPLIED_BY_PEERS &&
-       now - world.service_calm > APPLIED_BY_PEERS &&
-       now - world.changed[config + 1] > APPLIED_BY_PEERS))
+  if ((now - n->reachable_since > CONNECTED_FOR &&
+       now - world.service_outage_end > CONNECTED_FOR &&
+       now - world.changed[config + 1] > APPLIED_WITHIN) ||
+      (now - n->connected_since > APPLIED_BY_PEERS_WITHIN &&
+       now - world.service_outage_end > APPLIED_BY_PEERS_WITHIN &&
+       now - world.changed[config + 1] > APPLIED_BY_PEERS_WITHIN))
     g_snprintf (world.failure, sizeof world.failure,
                 "%.2f s: node %d has %u, %u was written at %.2f s",
                 (double) now / 1e6, (int) (n - world.nodes), config, config + 1,
@@ -603,8 +603,9 @@
   if (world.left[i] == 0)
     {
       world.left[i] = now;
-      world.uncertain[i] =
-          now - world.service_calm > IN_TOUCH ? 0 : world.service_calm;
+      world.uncertain[i] = now - world.service_outage_end > CONNECTED_FOR
+                               ? 0
+                               : world.service_outage_end;
       world_write_upstream (i, g_rand_boolean (world.rand) ? "leaving" : NULL);
       return;
     }
@@ -623,7 +624,8 @@
 
   return world.uncertain[i] == 0
              ? serves
-             : MAX (serves, world.uncertain[i] + RETURNED + APPLIED);
+             : MAX (serves,
+                    world.uncertain[i] + REWRITTEN_WITHIN + APPLIED_WITHIN);
 }
 
 /* Checks the users' bound for upstreams that leave, which holds for nodes that
@@ -631,9 +633,9 @@
 static void
 check_leaving (const Node *n, gint64 now)
 {
-  if (now - n->reachable_since <= IN_TOUCH ||
-      now - n->connected_since <= IN_TOUCH ||
-      now - world.service_calm <= IN_TOUCH)
+  if (now - n->reachable_since <= CONNECTED_FOR ||
+      now - n->connected_since <= CONNECTED_FOR ||
+      now - world.service_outage_end <= CONNECTED_FOR)
     return;
   for (guint i = 0; i < UPSTREAMS; i++)
     {
@@ -661,10 +663,10 @@
   g_random_set_seed (seed);
   world.requests = g_ptr_array_new ();
   world.newest = world.config = world.granter = 0;
-  world.forgotten = 0;
+  world.discarded_upto = 0;
   world.relayed = seed % 2 == 0;
   world.answers = answers;
-  world.renewed = world.service_calm = 0;
+  world.renewed = world.service_outage_end = 0;
   world.failure[0] = '\0';
   world.count = count;
   world.nodes = g_new0 (Node, count);
@@ -693,7 +695,7 @@
   if (world.zones > 0)
     n->members = new_members (i);
   n->mirror = cc_mirror_new (&(CcMirrorSetup){
-      (CcTable *) n, (CcHttp *) n, on_rows, choose_peer, end_peer, n,
+      (CcTable *) n, (CcHttp *) n, on_rows, choose_peer, on_peer_result, n,
       by_members ? CC_MEMBERS_FROM : NULL, by_members ? CC_MEMBERS_TO : NULL });
   cc_mirror_start (n->mirror, 0);
 }
@@ -774,7 +776,7 @@
       Request *q = world.requests->pdata[k - 1];
 
       if (q->peer == n)
-        q->given_up = now;
+        q->timeout_at = now;
       if (q->by != n)
         continue;
       g_ptr_array_remove_index (world.requests, k - 1);
@@ -825,13 +827,13 @@
       if (chance (0.02))
         fail_service (now);
       if (world.answers == HISTORY_LOST && chance (HISTORY_LOSSES_A_SECOND))
-        world.forgotten = world.newest;
+        world.discarded_upto = world.newest;
       fail_nodes (now);
       step_lease (now);
       world_step_requests ();
       cc_timers_run ();
       for (guint k = 0; k < world.count; k++)
-        if (!is_frozen (&world.nodes[k]))
+        if (!is_paused (&world.nodes[k]))
           {
             if (world.nodes[k].targets_due != 0 &&
                 now >= world.nodes[k].targets_due)
@@ -892,7 +894,7 @@
  * with pauses that double from an eighth of the longest, and the whole fleet
  * makes as many calls as twelve processes that pause for 350 ms. */
 guint
-world_calls_most (gint64 outage, guint fleet)
+world_max_calls (gint64 outage, guint fleet)
 {
   gint64 longest = MIN (350 * CC_MS * fleet / 12, 10 * CC_SECOND);
   gint64 pause = longest / 8;
--- a/test/mirror_world.h
+++ b/test/mirror_world.h
@@ -22,10 +22,10 @@
 #define RENEWAL (650 * CC_MS)
 /* The lease goes to another node after its holder was cut off for so long. */
 #define TERM (2250 * CC_MS)
-/* Users' bound: a node that was connected for IN_TOUCH has a change within
- * APPLIED after it was written. */
-#define IN_TOUCH (3 * CC_SECOND)
-#define APPLIED (2 * CC_SECOND)
+/* Users' bound: a node that was connected for CONNECTED_FOR has a change within
+ * APPLIED_WITHIN after it was written. */
+#define CONNECTED_FOR (3 * CC_SECOND)
+#define APPLIED_WITHIN (2 * CC_SECOND)
 /* Users' bound: an upstream that leaves serves for SERVES, in fleets that have
  * relays for SERVES_LARGE.  Nodes send to it for SENT_TO at most. */
 #define SERVES (2 * CC_SECOND)
@@ -34,19 +34,19 @@
 #define UPSTREAMS 12
 /* Rows that expired in an outage of the service are written again within this
  * time after it. */
-#define RETURNED (2 * CC_SECOND)
+#define REWRITTEN_WITHIN (2 * CC_SECOND)
 /* With PEERS_LATE and ALL_LATE: how often a node's answers to peers, and the
  * service's answers to it, begin to be late, and by how many seconds at most:
  * its link retransmits lost segments, or it is short of processor time. */
-#define LATE_A_SECOND 0.1
-#define LATE_MOST 1.0
+#define DELAYS_A_SECOND 0.1
+#define LATE_MAX_S 1.0
 /* With HISTORY_LOST: how often the service discards its history. */
 #define HISTORY_LOSSES_A_SECOND 0.5
 /* With RESTARTS: how often a node is killed and restarted. */
 #define RESTARTS_A_SECOND 0.05
 #define LARGE 50 /* processes of a fleet with relays */
 /* A node that the service rejects has a change from its peers by then. */
-#define APPLIED_BY_PEERS (7 * CC_SECOND)
+#define APPLIED_BY_PEERS_WITHIN (7 * CC_SECOND)
 /* Deletions are uncertain for this time after an outage (targets.h). */
 #define UNCERTAIN_FOR (1750 * CC_MS)
 
@@ -62,7 +62,7 @@
   CcMirror *mirror;
   Service service; /* state of the service towards this node */
   gint64 service_until;
-  gint64 frozen_until;
+  gint64 paused_until;
   gint64 reachable_since; /* us: neither paused nor rejected by the service
                              since */
   gint64 connected_since; /* us: neither paused nor cut off from peers since */
@@ -103,9 +103,9 @@
 {
   Kind kind;
   Node *by;
-  gint64 sent_at;  /* us */
-  gint64 at;       /* when it is answered if nothing has changed, us */
-  gint64 given_up; /* when it times out, us */
+  gint64 sent_at;    /* us */
+  gint64 at;         /* when it is answered if nothing has changed, us */
+  gint64 timeout_at; /* when it times out, us */
   gboolean dropped;
   CcTableName name; /* READ, WATCH */
   const char *to;   /* first key that is not read; NULL: all are */
@@ -131,18 +131,19 @@
   GPtrArray *requests; /* of Request */
   CcView tables[CC_TABLE_FOLLOWED];
   guint64 newest;
-  guint64 forgotten;           /* newest version of the discarded history */
+  guint64 discarded_upto;      /* newest version of the discarded history */
   guint config;                /* number of configurations written */
   gint64 changed[STEPS];       /* when each configuration was written, us */
   gint64 left[UPSTREAMS];      /* when each began to leave, us; 0: it has not */
   gint64 uncertain[UPSTREAMS]; /* end of the outage of the service in which it
                                   left, us; 0: there was none */
   guint granter;
-  gint64 renewed;      /* last renewal of the lease, us */
-  gint64 service_calm; /* end of the service's last outage for all nodes, us */
-  gboolean relayed;    /* all nodes but the first RELAYS follow those */
-  gboolean by_members; /* a starting node reads the members' rows first */
-  guint zones;         /* of a fleet with members' rows; 0: it has none */
+  gint64 renewed;            /* last renewal of the lease, us */
+  gint64 service_outage_end; /* end of the service's last outage for all nodes,
+                                us */
+  gboolean relayed;          /* all nodes but the first RELAYS follow those */
+  gboolean by_members;       /* a starting node reads the members' rows first */
+  guint zones;               /* of a fleet with members' rows; 0: it has none */
   Answers answers;
   char failure[200]; /* first failed check; empty: none */
 } World;
@@ -157,7 +158,7 @@
 Node *world_node_at (const char *address);
 void world_reset_counts (void);
 void world_run_until (gint64 until);
-guint world_calls_most (gint64 outage, guint fleet);
+guint world_max_calls (gint64 outage, guint fleet);
 void world_step_requests (void);
 void world_run_seed (guint seed, Answers answers);
 void world_check_node (Node *n, gint64 now);
--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -16,7 +16,7 @@
 
 #define ZONES 5
 #define RANGES 300
-#define FOLLOWERS_MOST 40       /* of a relay, in the mean */
+#define FOLLOWERS_MAX 40        /* of a relay, in the mean */
 #define LINK_STRONG (200e6 / 8) /* bytes a second */
 #define LINK_WEAK (20e6 / 8)
 #define ROWS_PART 0.1       /* of a link, while keys move */
@@ -32,12 +32,12 @@
 
 /* What a member of a fleet of 2,700 may spend on control traffic: 1.2% of a
  * core, at 0.1 ms for an answer or a report, and 6 kB a second. */
-#define ANSWERS_MOST 120.0 /* a second */
-#define REPORTS_MOST 120.0 /* a second */
-#define BYTES_MOST 6000.0  /* of rows, a second */
-#define PEERS_MOST 390     /* a tenth of the sockets of a weak member */
-#define SLOW_CHANGES 1     /* a second, to ranges */
-#define SLOW_SPAN 4        /* s */
+#define ANSWERS_MAX 120.0 /* a second */
+#define REPORTS_MAX 120.0 /* a second */
+#define BYTES_MAX 6000.0  /* of rows, a second */
+#define PEERS_MAX 390     /* a tenth of the sockets of a weak member */
+#define SLOW_CHANGES 1    /* a second, to ranges */
+#define SLOW_SPAN 4       /* s */
 #define REPORT_DRAWS 10
 
 /* The last size takes too long for all but two tests. */
@@ -90,8 +90,8 @@
 check_load (double seconds)
 {
   /* Leaves choose relays at random, so a relay may have more than its share. */
-  guint followers = MIN (world.count / ZONES / STRONG, FOLLOWERS_MOST) * 2;
-  guint relays = ZONES * MAX (STRONG, world.count / ZONES / FOLLOWERS_MOST);
+  guint followers = MIN (world.count / ZONES / STRONG, FOLLOWERS_MAX) * 2;
+  guint relays = ZONES * MAX (STRONG, world.count / ZONES / FOLLOWERS_MAX);
   guint answers = 0;
 
   for (guint i = 0; i < world.count; i++)
@@ -221,11 +221,11 @@
   print_message ("%u members: %.0f answers, %.0f bytes, %.0f reports a second, "
                  "%u peers\n",
                  *size, b.answers, b.bytes, b.reports, b.peers);
-  if (b.answers > ANSWERS_MOST || b.bytes > BYTES_MOST ||
-      b.reports > REPORTS_MOST || b.peers > PEERS_MOST)
+  if (b.answers > ANSWERS_MAX || b.bytes > BYTES_MAX ||
+      b.reports > REPORTS_MAX || b.peers > PEERS_MAX)
     fail_msg ("%u members: more than %.0f answers, %.0f bytes, %.0f reports a "
               "second, %d peers",
-              *size, ANSWERS_MOST, BYTES_MOST, REPORTS_MOST, PEERS_MOST);
+              *size, ANSWERS_MAX, BYTES_MAX, REPORTS_MAX, PEERS_MAX);
 }
 
 #define SHARE_TEST(NAME, SIZE)                                                 \
@@ -280,7 +280,7 @@
         world.nodes[i].service = REJECTS;
       world_run_until (cc_clock_now () + outage);
       for (guint i = STRONG * ZONES; i < world.count; i++)
-        if (world.nodes[i].calls > world_calls_most (outage, sizes[s]))
+        if (world.nodes[i].calls > world_max_calls (outage, sizes[s]))
           fail_msg ("%u members: member %u made %u calls", sizes[s], i,
                     world.nodes[i].calls);
       world_clear ();
--- a/test/test_members.c
+++ b/test/test_members.c
@@ -65,7 +65,7 @@
 }
 
 static void
-the_fleet_is_what_its_rows_say (void **state)
+the_fleet_is_derived_from_its_rows (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -509,7 +509,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (the_fleet_is_what_its_rows_say),
+    cmocka_unit_test (the_fleet_is_derived_from_its_rows),
     cmocka_unit_test (a_restarted_process_writes_no_row),
     cmocka_unit_test (only_rows_of_members_are_read),
     cmocka_unit_test (the_first_of_the_order_are_of_different_zones),
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -66,7 +66,7 @@
  * discarded its history with the deletion of that upstream's row; a full read
  * must detect that the row is missing. */
 static void
-a_forgotten_history_hides_no_deletion (void **state)
+a_discarded_history_hides_no_deletion (void **state)
 {
   (void) state;
   run_seeds (HISTORY_LOST);
@@ -150,7 +150,7 @@
  * treat all deletions as uncertain and send requests to upstreams that have
  * left. */
 static void
-outages_of_one_that_is_cut_off_are_its_own (void **state)
+outages_of_a_cut_off_peer_are_not_adopted (void **state)
 {
   gint64 now = 0;
 
@@ -286,7 +286,7 @@
  * granter is dropped.  Guards against followers that watch the service directly
  * for each of these changes because the granter's copy becomes stale. */
 static void
-an_old_copy_costs_its_followers_few_calls (void **state)
+a_stale_copy_costs_its_followers_few_calls (void **state)
 {
   guint before[NODES];
   gint64 from;
@@ -369,7 +369,7 @@
       world_begin (1, IN_TIME);
       world.relayed = relayed != 0;
       world_run_until (4 * CC_SECOND);
-      world.nodes[world.granter].frozen_until = cc_clock_now () + 900 * CC_MS;
+      world.nodes[world.granter].paused_until = cc_clock_now () + 900 * CC_MS;
       world_run_until (cc_clock_now () + 1200 * CC_MS);
       for (guint k = 0; k < NODES; k++)
         before[k] = world.nodes[k].calls;
@@ -415,13 +415,13 @@
       world_run_until (cc_clock_now () + cases[i].lasts);
       for (guint k = RELAYS; k < NODES; k++)
         if (world.nodes[k].calls - before[k] >
-            world_calls_most (cases[i].lasts, LARGE))
+            world_max_calls (cases[i].lasts, LARGE))
           fail_msg ("case %u: node %u made %u calls", i, k,
                     world.nodes[k].calls - before[k]);
       for (guint k = 0; k < NODES; k++)
         world.nodes[k].service = HEALTHY;
       world_write_config ();
-      world_run_until (cc_clock_now () + APPLIED);
+      world_run_until (cc_clock_now () + APPLIED_WITHIN);
       for (guint k = 0; k < NODES; k++)
         {
           world_check_node (&world.nodes[k], cc_clock_now ());
@@ -489,7 +489,7 @@
       if (c->granter_ms > 0)
         world_write_row (CC_TABLE_STATE, "granter", NULL);
       if (c->lost)
-        world.nodes[0].frozen_until = G_MAXINT64;
+        world.nodes[0].paused_until = G_MAXINT64;
       if (c->granter_ms > 0)
         {
           world_run_until (c->granter_ms * CC_MS);
@@ -518,14 +518,14 @@
     cmocka_unit_test (a_delayed_answer_counts_from_when_it_was_given),
     cmocka_unit_test (
         a_delayed_answer_of_the_service_counts_from_when_it_was_given),
-    cmocka_unit_test (a_forgotten_history_hides_no_deletion),
+    cmocka_unit_test (a_discarded_history_hides_no_deletion),
     cmocka_unit_test (a_restarted_peer_hides_no_deletion),
     cmocka_unit_test (regression_seeds_pass),
     cmocka_unit_test (one_rejected_node_with_late_answers),
-    cmocka_unit_test (outages_of_one_that_is_cut_off_are_its_own),
+    cmocka_unit_test (outages_of_a_cut_off_peer_are_not_adopted),
     cmocka_unit_test (one_dropped_watch_makes_no_copy_late),
     cmocka_unit_test (an_outage_ends_with_the_next_answer),
-    cmocka_unit_test (an_old_copy_costs_its_followers_few_calls),
+    cmocka_unit_test (a_stale_copy_costs_its_followers_few_calls),
     cmocka_unit_test (an_outage_costs_leaves_few_calls),
     cmocka_unit_test (a_granter_that_answers_again_is_followed),
     cmocka_unit_test (own_writes_are_known_without_a_call),
--- a/view.h
+++ b/view.h
@@ -21,7 +21,7 @@
 {
   GTree *rows;   /* key to CcRow */
   CcRow *newest; /* row with the highest version */
-  guint64 upto;  /* every row is held that was written up to this transaction */
+  guint64 upto;  /* complete up to this transaction */
 } CcView;
 
 void cc_view_init (CcView *v);
