--- a/follower.c
+++ b/follower.c
@@ -447,8 +447,7 @@
   return g_hash_table_lookup (f->maps, pool);
 }
 
-/* Returns the registered dispatcher ID, or NULL; valid until the view changes.
- */
+/* Returns the registered dispatcher ID, or NULL; valid until a view change. */
 const CcMember *
 cc_follower_member (const CcFollower *f, const char *id)
 {
--- a/mirror.c
+++ b/mirror.c
@@ -42,8 +42,7 @@
  * answered.  Symptom: this copy and all copies that follow it count as fresh,
  * and requests are sent to upstreams that have exited.  So a copy is as old as
  * the older of the two tables, and a lost watch is detected like a lost
- * granter.  Only the few processes that watch directly pay for the extra calls.
- */
+ * granter.  Only the few processes that watch directly make the extra calls. */
 #define FRESHNESS_WAIT (600 * CC_MS)
 /* Right after the start all processes of a fleet register at once.  Nothing is
  * served yet, so updates may be taken in larger batches. */
@@ -335,8 +334,7 @@
  * read, and processes that follow this copy take it for no older than that.
  * Symptom: they send to an upstream for longer than it serves.  All that is
  * known is that the row was deleted after it was written, so the deletion gets
- * the version that follows the row's.
- */
+ * the version that follows the row's. */
 static gboolean
 delete_missing (CcMirrorTable *t, GVariant *rows, guint64 upto)
 {
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -40,8 +40,7 @@
 #define FOLLOW_WAIT (900 * CC_MS)
 #define FOLLOW_TIMEOUT (250 * CC_MS)
 /* The timeout is extended while an answer keeps arriving, up to a limit, so
- * that a relay with a slow link does not leave its followers without updates.
- */
+ * that a relay with a slow link does not keep its followers without updates. */
 #define FOLLOW_STALL_TIMEOUT (500 * CC_MS)
 #define FOLLOW_EXTEND_MAX (700 * CC_MS)
 /* The wait is shorter if this copy would be stale before its end, but not below
--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -1,7 +1,6 @@
-/* Guards against control traffic that grows with the fleet: counts calls,
- * answers and bytes in fleets of 30 to 1,000 members in five zones.  A member
- * may use a tenth of its link for rows while keys move, and all of it for a
- * second at a start. */
+/* Guards against control traffic that grows with the fleet, with 30 to 1,000
+ * members in five zones.  A member may use a tenth of its link for rows while
+ * keys move, and all of it for a second when everything starts. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -1,7 +1,6 @@
 /* Guards against copies that go back to an older configuration, miss a change
  * for 2 s, or keep an upstream that left 2 s ago, while calls are rejected or
- * dropped, peers are partitioned, and processes stall; in seeded simulations.
- */
+ * dropped, peers are partitioned, and processes stall; seeded simulation. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -107,8 +106,7 @@
  * two seconds later than possible, since a large fleet retries rarely.  All
  * answers of its peers were stale by then, so it can't tell that the outage is
  * its own, and treats a deletion as uncertain for longer than the upstream
- * serves.
- */
+ * serves. */
 #define UNCERTAIN_TOO_LONG 1024
 
 static void
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -264,8 +264,7 @@
         world.deleted);
 }
 
-/* Answers as the table service, which holds the configuration and an upstream.
- */
+/* Answers as the table service, with the configuration and an upstream. */
 static GBytes *
 respond_as_table (const char *request, gint64 held)
 {
@@ -398,8 +397,7 @@
   return row != NULL ? row->version : 0;
 }
 
-/* Runs until M has VERSION, for SPAN us at most; returns FALSE if it has not.
- */
+/* Runs until M has VERSION or for SPAN us; returns FALSE if it has not. */
 static gboolean
 wait_for_version (CcMirror *m, guint64 version, gint64 span)
 {
