--- a/dispatch.c
+++ b/dispatch.c
@@ -236,7 +236,7 @@
 {
   const CcRow *voters = cc_view_get (&d->follower->view, "voters");
 
-  d->tenure->may_register = d->follower->platform_ok > 0;
+  d->tenure->may_register = d->follower->platform_answered_at > 0;
   d->tenure->voters_version = voters != NULL ? voters->version : 0;
   cc_voting_tick (d->voting, now);
 }
--- a/exchange.c
+++ b/exchange.c
@@ -323,7 +323,7 @@
       return CC_PICK_SHED;
     case CC_SERVER_MISDIRECTED:
       return CC_PICK_ABANDONED;
-    case CC_SERVER_NONSENSE:
+    case CC_SERVER_MISMATCHED:
       return CC_PICK_FAILED;
     }
   return CC_PICK_FAILED;
@@ -346,7 +346,7 @@
     case CC_SERVER_MISDIRECTED:
       retry_not_run (e, &reply);
       break;
-    case CC_SERVER_NONSENSE:
+    case CC_SERVER_MISMATCHED:
       retry_unknown (e, "not-its-answer");
       break;
     }
--- a/forward.c
+++ b/forward.c
@@ -121,7 +121,7 @@
   CcHttpRequest request = { .address = t->listing.address,
                             .body = e->body,
                             .bodiless = g_str_equal (e->method, "HEAD"),
-                            .echo = cc_edge_echo (),
+                            .echo = cc_edge_echo_header (),
                             .echo_value = e->caller.id,
                             .connect_timeout = CONNECT_TIMEOUT,
                             .answer_timeout = left + ANSWER_GRACE,
@@ -133,7 +133,7 @@
     request.idle_max = 0;
   g_string_append_printf (head, "%s %s HTTP/1.1\r\n%s", e->method, e->path,
                           e->headers);
-  cc_edge_write_order (head, &e->caller, left, t->listing.id);
+  cc_edge_write_headers (head, &e->caller, left, t->listing.id);
   request.head = head->str;
   cc_backlog_remove (&e->pool->backlog, &e->entry);
   e->call = cc_http_send (e->forwarder->setup.http, &request,
--- a/gateway.c
+++ b/gateway.c
@@ -238,7 +238,7 @@
 static void
 on_peer_ended (const char *address, gboolean answered, gpointer data)
 {
-  cc_members_peer_ended (((Gateway *) data)->members, address, answered);
+  cc_members_peer_result (((Gateway *) data)->members, address, answered);
 }
 
 /* Whether any of ROWS describes a member of the fleet. */
@@ -261,7 +261,7 @@
 
   cc_members_update (g->members, cc_mirror_view (g->mirror, CC_TABLE_STATE));
   count = cc_members_count (g->members);
-  role = (CcMirrorRole){ .for_others = cc_members_is_followed (g->members),
+  role = (CcMirrorRole){ .is_followed = cc_members_is_followed (g->members),
                          .reads_all = cc_members_reads_all (g->members),
                          .distance = cc_members_distance (g->members),
                          .fleet = count };
@@ -271,7 +271,7 @@
   cc_forwarder_set_entries (g->forwarder, count);
   cc_load_reporter_set_relay (g->reporter, cc_members_is_relay (g->members));
   limit_connections (g);
-  cc_mirror_role (g->mirror, &role);
+  cc_mirror_set_role (g->mirror, &role);
 }
 
 /* ---- reports to the granter ---- */
@@ -379,7 +379,7 @@
       update_lease_version (g);
       break;
     }
-  cc_peer_server_tell (g->peers);
+  cc_peer_server_notify (g->peers);
 }
 
 /* ---- readiness, metrics and other ports ---- */
@@ -389,7 +389,7 @@
 static void
 check_isolation (Gateway *g)
 {
-  gint64 now = cc_clock_now (), received_at = cc_mirror_heard_at (g->mirror);
+  gint64 now = cc_clock_now (), received_at = cc_mirror_answered_at (g->mirror);
   gboolean cut_off =
       received_at > 0 &&
       cc_isolation_is_cut_off (&g->targets, cc_setting (g->settings, "zone"),
@@ -604,7 +604,7 @@
                                        cc_setting_list (g->settings, "seeds") };
   CcMirrorSetup mirror_setup = { .changed = on_rows,
                                  .peer = pick_peer,
-                                 .peer_ended = on_peer_ended,
+                                 .peer_result = on_peer_ended,
                                  .data = g,
                                  /* At a first start there are no peers. */
                                  .members_from =
--- a/peer_server.h
+++ b/peer_server.h
@@ -1,4 +1,4 @@
-/* Answers peers that go by this process's copy of the rows. */
+/* Serves this process's copy of the tables to the peers that follow it. */
 #ifndef CC_PEER_SERVER_H
 #define CC_PEER_SERVER_H
 
@@ -8,6 +8,6 @@
 
 CcPeerServer *cc_peer_server_new (CcMirror *mirror, const char *address,
                                   char **message);
-void cc_peer_server_tell (CcPeerServer *p);
+void cc_peer_server_notify (CcPeerServer *p);
 
 #endif
--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -1,9 +1,6 @@
-/* The control path of whole fleets: who hears of rows from whom, in fleets of
- * 30 to 1,000 members in five zones, with what the modules say to one another
- * counted.
- *
- * Bounds are drawn from the shares of a member: a tenth of its link for rows
- * while keys move, all of it for a second when everything starts. */
+/* Guards against control traffic that grows with the fleet, with 30 to 1,000
+ * members in five zones.  A member may use a tenth of its link for rows while
+ * keys move, and all of it for a second when everything starts. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -18,31 +15,31 @@
 
 #define ZONES 5
 #define RANGES 300
-#define FOLLOWERS_MOST 40       /* of a relay, in the mean */
+#define FOLLOWERS_MAX 40        /* of a relay, in the mean */
 #define LINK_STRONG (200e6 / 8) /* bytes a second */
 #define LINK_WEAK (20e6 / 8)
 #define ROWS_PART 0.1       /* of a link, while keys move */
 #define CHANGES_A_SECOND 10 /* to ranges */
-#define HEARD_WITHIN (100 * CC_MS)
-/* The granter watches three tables, and two of them for as long as they are
- * fresh; nobody else asks while nothing fails. */
+#define PASSED_ON_WITHIN (100 * CC_MS)
+/* The granter watches three tables, two of them with the shorter freshness
+ * wait; no other member calls the service while nothing fails. */
 #define REST_CALLS_A_SECOND 8.0
-/* A relay follows the granter, a leaf a relay; both ask again at least this
- * often, and get an answer for each change. */
-#define ASKS_A_SECOND (1 / 0.9 + CHANGES_A_SECOND + 2)
+/* A relay follows the granter, a leaf a relay; both send a request at least
+ * this often, and get an answer for each change. */
+#define CALLS_A_SECOND (1 / 0.9 + CHANGES_A_SECOND + 2)
 #define WHOLE_WITHIN (700 * CC_MS)
 
-/* What a member of a fleet of 2,700 may spend on control: 1.2% of a core, at
- * 0.1 ms of it an answer or a report, and 6 kB a second. */
-#define ANSWERS_MOST 120.0 /* a second */
-#define REPORTS_MOST 120.0 /* a second */
-#define BYTES_MOST 6000.0  /* of rows, a second */
-#define PEERS_MOST 390     /* a tenth of the sockets of a weak member */
-#define SLOW_CHANGES 1     /* a second, to ranges */
-#define SLOW_SPAN 4        /* s */
+/* What a member of a fleet of 2,700 may spend on control traffic: 1.2% of a
+ * core, at 0.1 ms for an answer or a report, and 6 kB a second. */
+#define ANSWERS_MAX 120.0 /* a second */
+#define REPORTS_MAX 120.0 /* a second */
+#define BYTES_MAX 6000.0  /* of rows, a second */
+#define PEERS_MAX 390     /* a tenth of the sockets of a weak member */
+#define SLOW_CHANGES 1    /* a second, to ranges */
+#define SLOW_SPAN 4       /* s */
 #define REPORT_DRAWS 10
 
-/* The last takes too long for all but one test. */
+/* The last size takes too long for all but two tests. */
 static const guint sizes[] = { 30, 100, 300, 1000 };
 
 static double
@@ -86,13 +83,14 @@
   return row != NULL ? row->value : "";
 }
 
-/* What one member said in SECONDS, against its link and its followers. */
+/* Checks what each member sent in SECONDS against its link and its number of
+ * followers. */
 static void
 check_load (double seconds)
 {
-  /* Drawn at random, a relay has more of them than its share now and then. */
-  guint followers = MIN (world.count / ZONES / STRONG, FOLLOWERS_MOST) * 2;
-  guint relays = ZONES * MAX (STRONG, world.count / ZONES / FOLLOWERS_MOST);
+  /* Leaves choose relays at random, so a relay may have more than its share. */
+  guint followers = MIN (world.count / ZONES / STRONG, FOLLOWERS_MAX) * 2;
+  guint relays = ZONES * MAX (STRONG, world.count / ZONES / FOLLOWERS_MAX);
   guint answers = 0;
 
   for (guint i = 0; i < world.count; i++)
@@ -104,7 +102,7 @@
       if ((double) n->bytes > ROWS_PART * link_of (i) * seconds)
         fail_msg ("%u members: member %u sent %.0f bytes a second", world.count,
                   i, (double) n->bytes / seconds);
-      if (n->answers > most * ASKS_A_SECOND * seconds)
+      if (n->answers > most * CALLS_A_SECOND * seconds)
         fail_msg ("%u members: member %u gave %.0f answers a second",
                   world.count, i, n->answers / seconds);
     }
@@ -115,7 +113,7 @@
 }
 
 /* Load: ranges of keys change ten times a second.  Guards against calls to the
- * table, or bytes of one member, that grow with the fleet. */
+ * table service, or bytes sent by one member, that grow with the fleet. */
 static void
 moves_cost_the_table_nothing_more_in_a_large_fleet (void **state)
 {
@@ -125,14 +123,14 @@
       guint changes = 3 * CHANGES_A_SECOND;
 
       begin_with_ranges (s + 1, sizes[s]);
-      world_forget_counts ();
+      world_reset_counts ();
       for (guint i = 0; i < changes; i++)
         {
           const char *value = i % 2 ? "a" : "b";
           gint64 at = cc_clock_now ();
 
           world_write_range (value);
-          world_run_until (at + HEARD_WITHIN);
+          world_run_until (at + PASSED_ON_WITHIN);
           for (guint k = 0; k < world.count; k++)
             if (!g_str_equal (value_at (k), value))
               fail_msg ("%u members: member %u has an old row", sizes[s], k);
@@ -145,7 +143,7 @@
   cc_clock_resume ();
 }
 
-/* The reports a second of the member that takes most. */
+/* Returns the highest number of reports a second that one member receives. */
 static double
 most_reports (void)
 {
@@ -168,13 +166,13 @@
   return most;
 }
 
-/* The most that one member did, a second. */
+/* The highest rates of any single member, a second. */
 typedef struct
 {
   double answers;
   double bytes;
   double reports;
-  guint peers; /* connections of those that asked it */
+  guint peers; /* that sent it requests, each on a connection */
 } Busiest;
 
 static Busiest
@@ -188,7 +186,7 @@
 
       b.answers = MAX (b.answers, n->answers / seconds);
       b.bytes = MAX (b.bytes, (double) n->bytes / seconds);
-      b.peers = MAX (b.peers, g_hash_table_size (n->askers));
+      b.peers = MAX (b.peers, g_hash_table_size (n->clients));
     }
   return b;
 }
@@ -206,7 +204,7 @@
 }
 
 /* Load: a range changes each second.  Guards against a member whose work for
- * the others grows with the fleet. */
+ * its peers grows with the fleet. */
 static void
 the_busiest_member_keeps_within_its_share (void **state)
 {
@@ -214,7 +212,7 @@
   Busiest b;
 
   begin_with_ranges (1, *size);
-  world_forget_counts ();
+  world_reset_counts ();
   change_ranges (SLOW_SPAN * SLOW_CHANGES, CC_SECOND / SLOW_CHANGES);
   b = find_busiest (SLOW_SPAN);
   world_clear ();
@@ -222,11 +220,11 @@
   print_message ("%u members: %.0f answers, %.0f bytes, %.0f reports a second, "
                  "%u peers\n",
                  *size, b.answers, b.bytes, b.reports, b.peers);
-  if (b.answers > ANSWERS_MOST || b.bytes > BYTES_MOST ||
-      b.reports > REPORTS_MOST || b.peers > PEERS_MOST)
+  if (b.answers > ANSWERS_MAX || b.bytes > BYTES_MAX ||
+      b.reports > REPORTS_MAX || b.peers > PEERS_MAX)
     fail_msg ("%u members: more than %.0f answers, %.0f bytes, %.0f reports a "
               "second, %d peers",
-              *size, ANSWERS_MOST, BYTES_MOST, REPORTS_MOST, PEERS_MOST);
+              *size, ANSWERS_MAX, BYTES_MAX, REPORTS_MAX, PEERS_MAX);
 }
 
 #define SHARE_TEST(NAME, SIZE)                                                 \
@@ -235,7 +233,7 @@
         (void *) &sizes[SIZE]                                                  \
   }
 
-/* Load: all members are killed and started again.  Guards against a start that
+/* Load: all members are killed and restarted.  Guards against a start that
  * takes longer, or costs a member more calls, in a larger fleet. */
 static void
 a_fleet_is_whole_again_soon (void **state)
@@ -265,8 +263,8 @@
   cc_clock_resume ();
 }
 
-/* Load: the table is away for all.  Guards against processes that nobody
- * follows asking it as often as a small fleet's. */
+/* Load: the table service is unreachable for the whole fleet.  Guards against
+ * processes that nobody follows retrying as often as those of a small fleet. */
 static void
 an_outage_costs_a_member_less_in_a_large_fleet (void **state)
 {
@@ -276,12 +274,12 @@
   for (guint s = 0; s < G_N_ELEMENTS (sizes) - 1; s++)
     {
       begin_with_ranges (s + 1, sizes[s]);
-      world_forget_counts ();
+      world_reset_counts ();
       for (guint i = 0; i < world.count; i++)
-        world.nodes[i].service = REFUSES;
+        world.nodes[i].service = REJECTS;
       world_run_until (cc_clock_now () + outage);
       for (guint i = STRONG * ZONES; i < world.count; i++)
-        if (world.nodes[i].calls > world_calls_most (outage, sizes[s]))
+        if (world.nodes[i].calls > world_max_calls (outage, sizes[s]))
           fail_msg ("%u members: member %u made %u calls", sizes[s], i,
                     world.nodes[i].calls);
       world_clear ();
--- a/test/test_listing.c
+++ b/test/test_listing.c
@@ -1,4 +1,5 @@
-/* How old the list of instances is while its answers are slow. */
+/* Guards against a list of instances that becomes stale while the platform's
+ * answers are slow. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,9 +18,8 @@
   gint64 answered; /* us */
 } Call;
 
-/* Guards against a change of the list that is seen only after two answers,
- * though it is read as soon as it is asked for: a period and one answer are
- * enough. */
+/* Guards against a change of the list that is seen only after the time of two
+ * answers; a period and one answer are enough. */
 static void
 a_slow_list_is_not_older_than_its_answer (void **state)
 {
@@ -36,7 +36,7 @@
 
       for (gint64 now = TICK; now < TICKS * TICK && seen == 0; now += TICK)
         {
-          Call c = { cc_listing_ask (&l, now), now + answers[i] };
+          Call c = { cc_listing_request (&l, now), now + answers[i] };
 
           if (c.number != 0)
             g_array_append_val (calls, c);
@@ -59,19 +59,19 @@
     }
 }
 
-/* Guards against a list that goes back, since an answer overtook another. */
+/* Guards against a list that goes back because one answer overtook another. */
 static void
 an_overtaken_list_is_dropped (void **state)
 {
   CcListing l = { 0 };
-  guint64 first = cc_listing_ask (&l, 0);
-  guint64 second = cc_listing_ask (&l, CC_LISTING_PERIOD);
+  guint64 first = cc_listing_request (&l, 0);
+  guint64 second = cc_listing_request (&l, CC_LISTING_PERIOD);
 
   (void) state;
   assert_true (cc_listing_answered (&l, second));
   assert_false (cc_listing_answered (&l, first));
   assert_true (
-      cc_listing_answered (&l, cc_listing_ask (&l, 2 * CC_LISTING_PERIOD)));
+      cc_listing_answered (&l, cc_listing_request (&l, 2 * CC_LISTING_PERIOD)));
 }
 
 int
