--- a/test/bench_path.c
+++ b/test/bench_path.c
@@ -127,13 +127,13 @@
   const char *stand[] = { "--table",   table,   "--net", number,
                           "--servers", servers, NULL };
   const char *relay[] = { "--listen", bare, "--to", server, NULL };
-  GatewayPlace place = { .program = program,
-                         .instance = "i1",
-                         .zone = "a",
-                         .ip = ip,
-                         .table = table,
-                         .grace = 500,
-                         .log = "/dev/null" };
+  GatewayOptions place = { .program = program,
+                           .instance = "i1",
+                           .zone = "a",
+                           .ip = ip,
+                           .table = table,
+                           .grace = 500,
+                           .log = "/dev/null" };
   GSubprocess *all[] = { start (bin, "direct_stand", stand),
                          start (bin, "bare_relay", relay),
                          gateway_spawn (&place, NULL) };
--- a/test/demo.c
+++ b/test/demo.c
@@ -165,7 +165,7 @@
   printf ("  %u got an answer: %u got another's\n", c.answered,
           c.wrong_answers);
   printf ("  grants of a key that was another's: %u\n", c.owner_faults);
-  demo.code = soak_audit_faults () > 0 || demo.answered == 0;
+  demo.code = soak_audit_violations () > 0 || demo.answered == 0;
   printf ("%s\n", demo.code == 0 ? "passed" : "FAILED");
 }
 
--- a/test/demo_caller.c
+++ b/test/demo_caller.c
@@ -93,7 +93,7 @@
   o.address = callers->gateways[g_random_int_range (0, (gint32) n)];
   o.head = head->str;
   o.body = kinds[k].once ? body : NULL;
-  soak_audit_asked (c->id, kinds[k].once);
+  soak_audit_sent (c->id, kinds[k].once);
   if (cc_http_send (http, &o, on_done, c) == NULL)
     g_idle_add (on_unsent, c);
 }
--- a/test/demo_fleet.c
+++ b/test/demo_fleet.c
@@ -216,13 +216,13 @@
   g_autofree char *log =
       g_strdup_printf ("%s/%s.%u.log", fleet.folder, g->name, ++g->runs);
   g_autofree char *table = table_address ();
-  GatewayPlace place = { .program = program,
-                         .instance = g->name,
-                         .zone = g == &fleet.gateways[1] ? "a" : "b",
-                         .ip = g->ip,
-                         .table = table,
-                         .grace = STOP_GRACE_MS,
-                         .log = log };
+  GatewayOptions place = { .program = program,
+                           .instance = g->name,
+                           .zone = g == &fleet.gateways[1] ? "a" : "b",
+                           .ip = g->ip,
+                           .table = table,
+                           .grace = STOP_GRACE_MS,
+                           .log = log };
 
   g->process = gateway_spawn (&place, NULL);
   g_subprocess_wait_async (g->process, NULL, on_ended, g);
--- a/test/gateway_process.c
+++ b/test/gateway_process.c
@@ -24,7 +24,7 @@
 /* Starts a gateway as P says, with MORE settings, pairs of a name and a value
  * ended by NULL; MORE may be NULL. */
 GSubprocess *
-gateway_spawn (const GatewayPlace *p, const char *const *more)
+gateway_spawn (const GatewayOptions *p, const char *const *more)
 {
   static const struct
   {
--- a/test/gateway_process.h
+++ b/test/gateway_process.h
@@ -19,9 +19,9 @@
   const char *table; /* address of the table service */
   guint grace;       /* from SIGTERM to the end, ms */
   const char *log;   /* file for its standard output */
-} GatewayPlace;
+} GatewayOptions;
 
 void end_with_parent (gpointer unused);
-GSubprocess *gateway_spawn (const GatewayPlace *p, const char *const *more);
+GSubprocess *gateway_spawn (const GatewayOptions *p, const char *const *more);
 
 #endif
--- a/test/load.c
+++ b/test/load.c
@@ -92,7 +92,7 @@
 typedef struct
 {
   Load *load;
-  Told *told;
+  CallerOutcomes *told;
   Tally *tally;
   const Pattern *pattern;
   char *key;
@@ -351,10 +351,10 @@
 }
 
 /* What is told of one request that L sends. */
-static Told *
+static CallerOutcomes *
 told_new (Load *l, const CcClass *class)
 {
-  Told *t = g_new0 (Told, 1);
+  CallerOutcomes *t = g_new0 (CallerOutcomes, 1);
 
   t->marker = uuid_v7 (l->rand);
   t->once_only = class->once_only;
@@ -579,7 +579,7 @@
   guint n = 0;
 
   for (guint i = 0; i < l->told->len; i++)
-    n += ((const Told *) l->told->pdata[i])->told[CC_OUTCOME_UNKNOWN];
+    n += ((const CallerOutcomes *) l->told->pdata[i])->told[CC_OUTCOME_UNKNOWN];
   if (l->calm && n > 0)
     printf ("%u answers are unknown, none may be\n", n);
   return n;
--- a/test/records.c
+++ b/test/records.c
@@ -119,7 +119,7 @@
 /* The answers to T's caller and the runs at servers, in seconds of the wall
  * clock's day. */
 static void
-tell_story (Books *b, const Told *t)
+tell_story (Books *b, const CallerOutcomes *t)
 {
   GPtrArray *runs = g_hash_table_lookup (b->markers, t->marker);
   GString *s = g_string_new (t->answers->str);
@@ -151,7 +151,7 @@
 }
 
 static void
-judge_told (Books *b, const Told *t, Audit *a)
+judge_told (Books *b, const CallerOutcomes *t, Audit *a)
 {
   guint certain, possible;
 
@@ -209,8 +209,8 @@
       }
 }
 
-/* Compares TOLD (of Told) with the record files in FOLDER.  The first faults
- * are described in DETAILS. */
+/* Compares TOLD (of CallerOutcomes) with the record files in FOLDER.  The first
+ * faults are described in DETAILS. */
 Audit
 audit_records (const char *folder, GPtrArray *told, GString *details)
 {
--- a/test/records.h
+++ b/test/records.h
@@ -12,7 +12,7 @@
   CcOutcome last;   /* the last of them */
   gboolean crossed; /* an answer was somebody else's */
   GString *answers; /* each with its entry, times and reason */
-} Told;
+} CallerOutcomes;
 
 typedef struct
 {
--- a/test/soak.c
+++ b/test/soak.c
@@ -237,13 +237,13 @@
       g_strdup_printf ("%s/%s.%u", soak.folder, g->name, ++g->runs);
   g_autofree char *ip = g_strdup_printf ("127.%u.1.%u", soak.net, g->index);
   g_autofree char *table = table_front ();
-  GatewayPlace place = { .program = program,
-                         .instance = g->name,
-                         .zone = g->index % 2 == 0 ? "a" : "b",
-                         .ip = ip,
-                         .table = table,
-                         .grace = STOP_GRACE_MS,
-                         .log = log };
+  GatewayOptions place = { .program = program,
+                           .instance = g->name,
+                           .zone = g->index % 2 == 0 ? "a" : "b",
+                           .ip = ip,
+                           .table = table,
+                           .grace = STOP_GRACE_MS,
+                           .log = log };
 
   g->process = gateway_spawn (&place, more);
   g->signalled = 0;
@@ -295,7 +295,7 @@
 static gboolean
 on_callers_again (gpointer gateway)
 {
-  soak_watch_disturb_callers (GPOINTER_TO_UINT (gateway), FALSE);
+  soak_watch_caller_fault (GPOINTER_TO_UINT (gateway), FALSE);
   return G_SOURCE_REMOVE;
 }
 
@@ -304,10 +304,10 @@
 disturb_silenced (const Fault *f, guint whom)
 {
   if (ends_at (f, "table"))
-    soak_watch_shake (whom);
+    soak_watch_brief_fault (whom);
   if (!ends_at (f, "callers"))
     return;
-  soak_watch_disturb_callers (whom, TRUE);
+  soak_watch_caller_fault (whom, TRUE);
   g_timeout_add (KEPT_MS, on_callers_again, GUINT_TO_POINTER (whom));
 }
 
@@ -321,24 +321,24 @@
   switch (f->kind)
     {
     case FAULT_TABLE:
-      soak_watch_disturb (SOAK_ALL, begins);
+      soak_watch_gateway_fault (SOAK_ALL, begins);
       break;
     case FAULT_PAUSE:
-      soak_watch_disturb (f->gateway, begins);
+      soak_watch_gateway_fault (f->gateway, begins);
       break;
     case FAULT_CUT_TABLE:
     case FAULT_CUT_CALLERS:
     case FAULT_ONE_WAY:
     case FAULT_DELAY:
       if (ends_at (f, "table"))
-        soak_watch_disturb (whom, begins);
+        soak_watch_gateway_fault (whom, begins);
       if (ends_at (f, "callers"))
-        soak_watch_disturb_callers (whom, begins);
+        soak_watch_caller_fault (whom, begins);
       break;
     case FAULT_KILL:
     case FAULT_STOP:
       if (begins)
-        soak_watch_shake (f->gateway);
+        soak_watch_brief_fault (f->gateway);
       break;
     case FAULT_SILENCE:
     case FAULT_RESET:
@@ -379,7 +379,7 @@
       relay ("heal", f->a, f->b, "");
       break;
     case FAULT_TABLE:
-      soak_table_mode (SOAK_TABLE_WELL);
+      soak_table_set_mode (SOAK_TABLE_HEALTHY);
       break;
     case FAULT_CRASH:
     case FAULT_DRAIN:
@@ -392,7 +392,7 @@
       break;
     case FAULT_SLOW:
     case FAULT_LATE_GRANTS:
-      soak_server_mode (s, SOAK_SERVER_WELL);
+      soak_server_set_mode (s, SOAK_SERVER_HEALTHY);
       break;
     case FAULT_BURST:
       soak_callers_burst (1);
@@ -405,8 +405,8 @@
 
 /* A server that is slow, or whose answers can not be used. */
 static const SoakServerMode slow_modes[] = { SOAK_SERVER_SLOW, SOAK_SERVER_SLOW,
-                                             SOAK_SERVER_BREAKS,
-                                             SOAK_SERVER_SPOILS };
+                                             SOAK_SERVER_DROPS_RESPONSES,
+                                             SOAK_SERVER_MIXES_RESPONSES };
 
 static void
 begin_fault (Fault *f)
@@ -450,10 +450,10 @@
       begin_rule (f, "delay", delay);
       break;
     case FAULT_TABLE:
-      soak_table_mode (SOAK_TABLE_DOWN + f->draw % 4);
+      soak_table_set_mode (SOAK_TABLE_DOWN + f->draw % 4);
       break;
     case FAULT_FORGET:
-      soak_table_forget ();
+      soak_table_truncate_history ();
       break;
     case FAULT_CRASH:
     case FAULT_CRASH_SAME:
@@ -463,10 +463,10 @@
       soak_server_drain (s);
       break;
     case FAULT_SLOW:
-      soak_server_mode (s, slow_modes[f->draw % G_N_ELEMENTS (slow_modes)]);
+      soak_server_set_mode (s, slow_modes[f->draw % G_N_ELEMENTS (slow_modes)]);
       break;
     case FAULT_LATE_GRANTS:
-      soak_server_mode (s, SOAK_SERVER_LATE_GRANTS);
+      soak_server_set_mode (s, SOAK_SERVER_LATE_GRANTS);
       break;
     case FAULT_CONFIGURE:
       soak_config_change ();
@@ -636,10 +636,10 @@
   /* On a machine that did not let a gateway run, nothing is measured. */
   for (guint i = 0; i < MEASURES; i++)
     {
-      soak_audit_served (&asked, &served);
+      soak_audit_take_served (&asked, &served);
       starved = soak_watch_starved ();
       turn (MEASURED_MS);
-      soak_audit_served (&asked, &served);
+      soak_audit_take_served (&asked, &served);
       if (soak_watch_starved () == starved)
         break;
     }
@@ -652,10 +652,10 @@
 end_all (void)
 {
   soak_callers_stop ();
-  for (guint i = 0; i < 100 && soak_callers_waiting () > 0; i++)
+  for (guint i = 0; i < 100 && soak_callers_pending () > 0; i++)
     turn (50);
-  if (soak_callers_waiting () > 0)
-    soak_audit_fail ("%u requests never ended", soak_callers_waiting ());
+  if (soak_callers_pending () > 0)
+    soak_audit_fail ("%u requests never ended", soak_callers_pending ());
   soak.ending = TRUE;
   soak_watch_stop ();
   for (guint i = 0; i < GATEWAYS; i++)
@@ -688,7 +688,7 @@
                         argv) != CC_START_RUN)
     return 2;
   signal (SIGPIPE, SIG_IGN);
-  soak_servers_tell (soak_probe_ran);
+  soak_servers_set_run_callback (soak_probe_ran);
   seed = (guint) cc_setting_number (settings, "seed");
   soak.bin = cc_setting (settings, "bin");
   soak.net = free_net ();
@@ -712,11 +712,11 @@
   relay ("heal", "", "", "");
   check_recovery ();
   end_all ();
-  soak_audit_budget (g_ascii_strtod (RETRY_RATIO, NULL),
-                     g_ascii_strtod (RETRY_SLACK, NULL),
-                     g_ascii_strtoll (RETRY_WINDOW, NULL, 10) * CC_SECOND);
+  soak_audit_check_retry_budget (
+      g_ascii_strtod (RETRY_RATIO, NULL), g_ascii_strtod (RETRY_SLACK, NULL),
+      g_ascii_strtoll (RETRY_WINDOW, NULL, 10) * CC_SECOND);
   soak_watch_report ();
   soak_probe_summary ();
   soak_audit_summary ();
-  return soak_audit_faults () == 0 ? 0 : 1;
+  return soak_audit_violations () == 0 ? 0 : 1;
 }
--- a/test/soak.h
+++ b/test/soak.h
@@ -12,7 +12,7 @@
 /* ---- what is checked (soak_audit.c) ---- */
 
 void soak_audit_log (const char *format, ...) G_GNUC_PRINTF (1, 2);
-void soak_audit_asked (const char *id, gboolean once);
+void soak_audit_sent (const char *id, gboolean once);
 void soak_audit_started (const char *id, const char *pool, const char *server);
 void soak_audit_answered (const char *id, guint status, const char *body);
 /* Keys FROM to TO are granted to LIFE (a server's id and start) until UNTIL, us
@@ -20,12 +20,12 @@
 void soak_audit_granted (guint from, guint to, const char *life, guint64 fence,
                          gint64 until);
 void soak_audit_released (guint from, guint to, const char *life);
-void soak_audit_ended (const char *life);
+void soak_audit_server_exited (const char *life);
 void soak_audit_fail (const char *format, ...) G_GNUC_PRINTF (1, 2);
-guint soak_audit_faults (void);
+guint soak_audit_violations (void);
 /* Asked and well answered since the last call. */
-void soak_audit_served (guint *asked, guint *served);
-void soak_audit_budget (double ratio, double slack, gint64 window);
+void soak_audit_take_served (guint *asked, guint *served);
+void soak_audit_check_retry_budget (double ratio, double slack, gint64 window);
 void soak_audit_summary (void);
 
 typedef struct
@@ -44,18 +44,19 @@
 
 typedef enum
 {
-  SOAK_TABLE_WELL,
-  SOAK_TABLE_DOWN, /* 503 */
-  SOAK_TABLE_SLOW, /* answers wait */
-  SOAK_TABLE_LOST, /* writes are done and not answered */
-  SOAK_TABLE_LATE  /* writes are done later if still allowed, never answered */
+  SOAK_TABLE_HEALTHY,
+  SOAK_TABLE_DOWN,          /* 503 */
+  SOAK_TABLE_SLOW,          /* answers wait */
+  SOAK_TABLE_RESPONSE_LOST, /* writes are done and not answered */
+  SOAK_TABLE_LATE_WRITE     /* writes are done later if still allowed, never
+                               answered */
 } SoakTableMode;
 
 void soak_table_listen (const char *address);
-void soak_table_mode (SoakTableMode mode);
-void soak_table_forget (void);
+void soak_table_set_mode (SoakTableMode mode);
+void soak_table_truncate_history (void);
 void soak_table_put (const char *table, const char *key, const char *value);
-void soak_table_drop (const char *table, const char *key);
+void soak_table_delete (const char *table, const char *key);
 
 /* ---- servers (soak_server.c) ---- */
 
@@ -63,22 +64,24 @@
 
 typedef enum
 {
-  SOAK_SERVER_WELL,
-  SOAK_SERVER_SLOW,       /* work takes five times as long */
-  SOAK_SERVER_BREAKS,     /* of some requests that ran, answers never come */
-  SOAK_SERVER_SPOILS,     /* ... they are another request's */
-  SOAK_SERVER_LATE_GRANTS /* grants are carried out late, without answer */
+  SOAK_SERVER_HEALTHY,
+  SOAK_SERVER_SLOW,            /* work takes five times as long */
+  SOAK_SERVER_DROPS_RESPONSES, /* of some requests that ran, answers never come
+                                */
+  SOAK_SERVER_MIXES_RESPONSES, /* ... they are another request's */
+  SOAK_SERVER_LATE_GRANTS      /* grants are carried out late, without answer */
 } SoakServerMode;
 
 /* RAN is called with each request that a server runs. */
-void soak_servers_tell (void (*ran) (const char *id, const char *pool,
-                                     const char *target));
+void soak_servers_set_run_callback (void (*ran) (const char *id,
+                                                 const char *pool,
+                                                 const char *target));
 SoakServer *soak_server_new (const char *pool, gboolean keyed, const char *zone,
                              const char *real, const char *front, guint index);
 void soak_server_start (SoakServer *s, gboolean same_id);
 void soak_server_crash (SoakServer *s);
 void soak_server_drain (SoakServer *s);
-void soak_server_mode (SoakServer *s, SoakServerMode mode);
+void soak_server_set_mode (SoakServer *s, SoakServerMode mode);
 gboolean soak_server_is_up (const SoakServer *s);
 
 /* ---- the operators (soak_config.c) ---- */
@@ -96,14 +99,14 @@
 guint soak_config_count (void);
 guint soak_config_version (guint i);
 gint64 soak_config_written (guint i);
-gboolean soak_config_is_proper (guint i);
+gboolean soak_config_is_applicable (guint i);
 guint soak_config_find (guint version);
-void soak_config_ask (guint low, const char *host, const char *path,
-                      SoakAllowed *out);
+void soak_config_query (guint low, const char *host, const char *path,
+                        SoakAllowed *out);
 gboolean soak_config_allows (const SoakAllowed *a, const char *pool);
-guint soak_config_first (guint low, const char *host, const char *path,
-                         const char *pool);
-void soak_config_place (const char **host, char **path);
+guint soak_config_first_match (guint low, const char *host, const char *path,
+                               const char *pool);
+void soak_config_draw_target (const char **host, char **path);
 
 /* ---- which configuration each gateway must have (soak_watch.c) ---- */
 
@@ -112,13 +115,13 @@
 void soak_watch_begin (const char *ip, char **admin);
 void soak_watch_started (guint gateway, const char *pid);
 guint soak_watch_starved (void);
-void soak_watch_disturb (guint gateway, gboolean begins);
-void soak_watch_disturb_callers (guint gateway, gboolean begins);
-void soak_watch_shake (guint gateway);
-void soak_watch_seen (guint gateway, guint run, guint entry);
+void soak_watch_gateway_fault (guint gateway, gboolean begins);
+void soak_watch_caller_fault (guint gateway, gboolean begins);
+void soak_watch_brief_fault (guint gateway);
+void soak_watch_applied (guint gateway, guint run, guint entry);
 guint soak_watch_run (guint gateway);
-guint soak_watch_low (guint gateway);
-gboolean soak_watch_calm_since (guint gateway, gint64 at);
+guint soak_watch_oldest_entry (guint gateway);
+gboolean soak_watch_fault_free_since (guint gateway, gint64 at);
 void soak_watch_stop (void);
 void soak_watch_report (void);
 
@@ -135,6 +138,6 @@
 void soak_callers_start (char **gateways, const char *ip, guint per_second);
 void soak_callers_burst (guint factor);
 void soak_callers_stop (void);
-guint soak_callers_waiting (void);
+guint soak_callers_pending (void);
 
 #endif
--- a/test/soak_audit.c
+++ b/test/soak_audit.c
@@ -80,7 +80,7 @@
 }
 
 guint
-soak_audit_faults (void)
+soak_audit_violations (void)
 {
   return faults;
 }
@@ -102,7 +102,7 @@
 }
 
 void
-soak_audit_asked (const char *id, gboolean once)
+soak_audit_sent (const char *id, gboolean once)
 {
   Asked *a = find_asked (id);
 
@@ -176,7 +176,7 @@
 }
 
 void
-soak_audit_served (guint *asked, guint *served)
+soak_audit_take_served (guint *asked, guint *served)
 {
   *asked = lately_asked;
   *served = lately_served;
@@ -275,7 +275,7 @@
 
 /* LIFE is over: it holds nothing. */
 void
-soak_audit_ended (const char *life)
+soak_audit_server_exited (const char *life)
 {
   for (guint key = 0; key < SOAK_KEYS; key++)
     for (guint i = 0; holders[key] != NULL && i < holders[key]->len; i++)
@@ -289,7 +289,7 @@
 
 /* In any WINDOW (us) repeats are bounded by RATIO of the requests and SLACK. */
 void
-soak_audit_budget (double ratio, double slack, gint64 window)
+soak_audit_check_retry_budget (double ratio, double slack, gint64 window)
 {
   guint span = (guint) (window / CC_SECOND);
   GHashTableIter i;
--- a/test/soak_caller.c
+++ b/test/soak_caller.c
@@ -115,7 +115,7 @@
   g_autofree char *id = g_strdup_printf ("q%" G_GUINT64_FORMAT, next_id++);
   g_autofree char *target = g_strconcat (kinds[k].prefix, id, NULL);
 
-  soak_audit_asked (id, kinds[k].once);
+  soak_audit_sent (id, kinds[k].once);
   send_call (kinds[k].method, "a.example", target, kinds[k].once, key, id);
 }
 
@@ -128,7 +128,7 @@
   g_autofree char *path = NULL;
   const char *host;
 
-  soak_config_place (&host, &path);
+  soak_config_draw_target (&host, &path);
   g_string_append (target, path);
   g_string_append_printf (
       target, tails[g_random_int_range (0, G_N_ELEMENTS (tails))], id);
@@ -175,7 +175,7 @@
 
 /* Requests without an answer. */
 guint
-soak_callers_waiting (void)
+soak_callers_pending (void)
 {
   return waiting;
 }
--- a/test/soak_config.c
+++ b/test/soak_config.c
@@ -360,7 +360,7 @@
 }
 
 gboolean
-soak_config_is_proper (guint i)
+soak_config_is_applicable (guint i)
 {
   return entry (i)->kind == ENTRY_PROPER;
 }
@@ -417,8 +417,8 @@
 
 /* What the entries from LOW to the newest allow for HOST and PATH. */
 void
-soak_config_ask (guint low, const char *host, const char *path,
-                 SoakAllowed *out)
+soak_config_query (guint low, const char *host, const char *path,
+                   SoakAllowed *out)
 {
   *out = (SoakAllowed){ .always = TRUE };
   for (guint i = low; i < entries->len; i++)
@@ -457,8 +457,8 @@
 /* The first entry from LOW on by which HOST and PATH go to POOL (NULL: have no
  * route); LOW if there is none. */
 guint
-soak_config_first (guint low, const char *host, const char *path,
-                   const char *pool)
+soak_config_first_match (guint low, const char *host, const char *path,
+                         const char *pool)
 {
   for (guint i = low; i < entries->len; i++)
     {
@@ -477,7 +477,7 @@
 
 /* A host and the beginning of a path that some configuration may allow. */
 void
-soak_config_place (const char **host, char **path)
+soak_config_draw_target (const char **host, char **path)
 {
   static const char *const others[] = { "/n0",    "/n0/a", "/n00/",
                                         "/none/", "/m0/",  "/n0/A/" };
--- a/test/soak_probe.c
+++ b/test/soak_probe.c
@@ -48,7 +48,7 @@
         g_hash_table_new_full (g_str_hash, g_str_equal, g_free, probe_free);
   p->gateway = gateway;
   p->run = soak_watch_run (gateway);
-  p->low = soak_watch_low (gateway);
+  p->low = soak_watch_oldest_entry (gateway);
   p->sent = cc_clock_now ();
   p->host = g_strdup (host);
   p->target = g_strdup (target);
@@ -62,7 +62,7 @@
 {
   guint low = p->run == soak_watch_run (p->gateway) ? p->low : 0;
 
-  soak_config_ask (low, p->host, p->path, out);
+  soak_config_query (low, p->host, p->path, out);
   return low;
 }
 
@@ -88,8 +88,8 @@
                      id, p->gateway + 1, p->host, p->target, pool,
                      soak_config_version (low));
   else
-    soak_watch_seen (p->gateway, p->run,
-                     soak_config_first (low, p->host, p->path, pool));
+    soak_watch_applied (p->gateway, p->run,
+                        soak_config_first_match (low, p->host, p->path, pool));
 }
 
 static gboolean
@@ -105,7 +105,7 @@
   gint64 over = cc_clock_now () - p->sent - (gint64) a->timeout * CC_MS;
 
   if (a->timeout == 0 || over < 0 ||
-      !soak_watch_calm_since (p->gateway, p->sent))
+      !soak_watch_fault_free_since (p->gateway, p->sent))
     return;
   past_timeout++;
   if (over <= LATE_AFTER)
@@ -132,8 +132,8 @@
                      id, p->gateway + 1, p->host, p->target, status,
                      soak_config_version (low));
   else
-    soak_watch_seen (p->gateway, p->run,
-                     soak_config_first (low, p->host, p->path, NULL));
+    soak_watch_applied (p->gateway, p->run,
+                        soak_config_first_match (low, p->host, p->path, NULL));
 }
 
 /* Judges what is counted over the whole run. */
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -65,8 +65,8 @@
 static void serve_next (SoakServer *s);
 
 void
-soak_servers_tell (void (*ran) (const char *id, const char *pool,
-                                const char *target))
+soak_servers_set_run_callback (void (*ran) (const char *id, const char *pool,
+                                            const char *target))
 {
   tell_ran = ran;
 }
@@ -207,10 +207,11 @@
 {
   SoakServer *s = j->server;
 
-  if ((s->mode != SOAK_SERVER_BREAKS && s->mode != SOAK_SERVER_SPOILS) ||
+  if ((s->mode != SOAK_SERVER_DROPS_RESPONSES &&
+       s->mode != SOAK_SERVER_MIXES_RESPONSES) ||
       g_random_boolean ())
     return FALSE;
-  if (s->mode == SOAK_SERVER_BREAKS)
+  if (s->mode == SOAK_SERVER_DROPS_RESPONSES)
     {
       cut_off (j->message);
       return TRUE;
@@ -453,7 +454,7 @@
     }
   g_free (s->life);
   s->life = g_strdup_printf ("%s.%u", s->id, s->lives);
-  s->mode = SOAK_SERVER_WELL;
+  s->mode = SOAK_SERVER_HEALTHY;
   s->draining = FALSE;
   memset (s->until, 0, sizeof s->until);
   memset (s->fence, 0, sizeof s->fence);
@@ -493,7 +494,7 @@
     }
   soup_server_disconnect (s->http);
   g_clear_object (&s->http);
-  soak_audit_ended (s->life);
+  soak_audit_server_exited (s->life);
 }
 
 /* An entry that nobody renews any more. */
@@ -509,7 +510,7 @@
   Lapse *l = data;
 
   if (l->server->http == NULL || !g_str_equal (l->server->id, l->id))
-    soak_table_drop ("servers", l->id);
+    soak_table_delete ("servers", l->id);
   g_free (l->id);
   g_free (l);
   return G_SOURCE_REMOVE;
@@ -558,7 +559,7 @@
 }
 
 void
-soak_server_mode (SoakServer *s, SoakServerMode mode)
+soak_server_set_mode (SoakServer *s, SoakServerMode mode)
 {
   s->mode = mode;
 }
--- a/test/soak_table.c
+++ b/test/soak_table.c
@@ -245,7 +245,7 @@
       g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   Selection s = { .table = "lease", .from = "" };
 
-  if (mode == SOAK_TABLE_LATE)
+  if (mode == SOAK_TABLE_LATE_WRITE)
     {
       g_timeout_add ((guint) g_random_int_range (LATE_LEAST_MS, LATE_MOST_MS),
                      on_late, g_steal_pointer (&text));
@@ -253,7 +253,7 @@
       return;
     }
   answer_rows (m, transact (text) ? 200 : 412, &s);
-  if (mode == SOAK_TABLE_LOST)
+  if (mode == SOAK_TABLE_RESPONSE_LOST)
     cut_off (m);
 }
 
@@ -337,14 +337,14 @@
 
 /* How calls are answered from now on. */
 void
-soak_table_mode (SoakTableMode now)
+soak_table_set_mode (SoakTableMode now)
 {
   mode = now;
 }
 
 /* The history is dropped, and feeds end. */
 void
-soak_table_forget (void)
+soak_table_truncate_history (void)
 {
   forgotten = newest;
   while (waiters != NULL)
@@ -366,7 +366,7 @@
 
 /* Drops a row as its writer. */
 void
-soak_table_drop (const char *table, const char *key)
+soak_table_delete (const char *table, const char *key)
 {
   soak_table_put (table, key, NULL);
 }
--- a/test/soak_watch.c
+++ b/test/soak_watch.c
@@ -73,7 +73,7 @@
 /* Whether since AT GATEWAY had no fault, and no caller's link to it
  * was harmed. */
 gboolean
-soak_watch_calm_since (guint gateway, gint64 at)
+soak_watch_fault_free_since (guint gateway, gint64 at)
 {
   const Watched *w = &watched[gateway];
 
@@ -85,7 +85,7 @@
 static guint
 stray_after (guint i)
 {
-  while (++i < soak_config_count () && soak_config_is_proper (i))
+  while (++i < soak_config_count () && soak_config_is_applicable (i))
     continue;
   return i;
 }
@@ -103,7 +103,7 @@
       gint64 written = soak_config_written (i);
       guint stray = stray_after (i);
 
-      if (!soak_config_is_proper (i) || written > now - APPLY)
+      if (!soak_config_is_applicable (i) || written > now - APPLY)
         continue;
       /* Who was not in touch before the stray row can't know the one that
        * stood there before. */
@@ -124,7 +124,7 @@
 
 /* The oldest entry by which GATEWAY may act on what is sent now. */
 guint
-soak_watch_low (guint gateway)
+soak_watch_oldest_entry (guint gateway)
 {
   const Watched *w = &watched[gateway];
   guint least = due (w);
@@ -134,7 +134,7 @@
 
 /* GATEWAY has acted by ENTRY or a later one in RUN. */
 void
-soak_watch_seen (guint gateway, guint run, guint entry)
+soak_watch_applied (guint gateway, guint run, guint entry)
 {
   Watched *w = &watched[gateway];
 
@@ -151,14 +151,14 @@
 
 /* A fault of GATEWAY, or of all if it is SOAK_ALL, begins or ends. */
 void
-soak_watch_disturb (guint gateway, gboolean begins)
+soak_watch_gateway_fault (guint gateway, gboolean begins)
 {
   note_fault (gateway == SOAK_ALL ? &table : &watched[gateway].faults, begins);
 }
 
 /* The same of the link to callers. */
 void
-soak_watch_disturb_callers (guint gateway, gboolean begins)
+soak_watch_caller_fault (guint gateway, gboolean begins)
 {
   for (guint i = 0; i < count; i++)
     if (gateway == SOAK_ALL || gateway == i)
@@ -167,10 +167,10 @@
 
 /* A fault of GATEWAY that is over at once. */
 void
-soak_watch_shake (guint gateway)
+soak_watch_brief_fault (guint gateway)
 {
-  soak_watch_disturb (gateway, TRUE);
-  soak_watch_disturb (gateway, FALSE);
+  soak_watch_gateway_fault (gateway, TRUE);
+  soak_watch_gateway_fault (gateway, FALSE);
 }
 
 /* A new run of GATEWAY, the process PID, which knows nothing. */
@@ -198,7 +198,7 @@
     {
       gint64 took = now - soak_config_written (i);
 
-      if (!soak_config_is_proper (i) || soak_config_version (i) > version ||
+      if (!soak_config_is_applicable (i) || soak_config_version (i) > version ||
           soak_config_version (i) <= w->version || took <= w->slowest ||
           calm_from (w) > soak_config_written (i))
         continue;
@@ -287,9 +287,9 @@
   for (guint i = 0; i < count; i++)
     if (watched[i].run > 0 && was_starved (&watched[i]))
       {
-        soak_watch_shake (i);
-        soak_watch_disturb_callers (i, TRUE);
-        soak_watch_disturb_callers (i, FALSE);
+        soak_watch_brief_fault (i);
+        soak_watch_caller_fault (i, TRUE);
+        soak_watch_caller_fault (i, FALSE);
         starved++;
         soak_audit_log ("gw%u waited for a processor", i + 1);
       }
--- a/test/test_causes.c
+++ b/test/test_causes.c
@@ -283,13 +283,13 @@
       g_build_filename (here, "..", "capercrank-gateway", NULL);
   g_autofree char *ip = g_strdup_printf ("127.%u.1.1", w.net);
   g_autofree char *table = address_of (0, 2, 7000);
-  GatewayPlace place = { .program = program,
-                         .instance = "i1",
-                         .zone = "a",
-                         .ip = ip,
-                         .table = table,
-                         .grace = grace,
-                         .log = w.log };
+  GatewayOptions place = { .program = program,
+                           .instance = "i1",
+                           .zone = "a",
+                           .ip = ip,
+                           .table = table,
+                           .grace = grace,
+                           .log = w.log };
 
   w.gateway = gateway_spawn (&place, NULL);
 }
--- a/test/test_soak_audit.c
+++ b/test/test_soak_audit.c
@@ -16,7 +16,7 @@
 static void
 run_once_only_twice (void)
 {
-  soak_audit_asked ("twice", TRUE);
+  soak_audit_sent ("twice", TRUE);
   soak_audit_started ("twice", "free", "s1");
   soak_audit_started ("twice", "free", "s2");
 }
@@ -24,7 +24,7 @@
 static void
 repeat_idempotent (void)
 {
-  soak_audit_asked ("repeated", FALSE);
+  soak_audit_sent ("repeated", FALSE);
   soak_audit_started ("repeated", "free", "s1");
   soak_audit_started ("repeated", "free", "s2");
   soak_audit_answered ("repeated", 200, "done repeated");
@@ -33,7 +33,7 @@
 static void
 refuse_after_run (void)
 {
-  soak_audit_asked ("ran", TRUE);
+  soak_audit_sent ("ran", TRUE);
   soak_audit_started ("ran", "free", "s1");
   soak_audit_answered ("ran", 503, "");
 }
@@ -41,7 +41,7 @@
 static void
 run_after_refusal (void)
 {
-  soak_audit_asked ("later", TRUE);
+  soak_audit_sent ("later", TRUE);
   soak_audit_answered ("later", 503, "");
   soak_audit_started ("later", "free", "s1");
 }
@@ -49,7 +49,7 @@
 static void
 answer_crosswise (void)
 {
-  soak_audit_asked ("mine", FALSE);
+  soak_audit_sent ("mine", FALSE);
   soak_audit_started ("mine", "free", "s1");
   soak_audit_answered ("mine", 200, "done yours");
 }
@@ -99,7 +99,7 @@
       const SoakAuditCounts *f = &cases[i].found;
       guint expected =
           f->ran_twice + f->refused_ran + f->wrong_answers + f->owner_faults;
-      guint faults = soak_audit_faults ();
+      guint faults = soak_audit_violations ();
       SoakAuditCounts before, after;
 
       soak_audit_count (&before);
@@ -112,7 +112,7 @@
                         f->wrong_answers);
       assert_int_equal (after.owner_faults - before.owner_faults,
                         f->owner_faults);
-      assert_int_equal (soak_audit_faults () - faults, expected);
+      assert_int_equal (soak_audit_violations () - faults, expected);
     }
 }
 
@@ -128,7 +128,7 @@
   soak_audit_granted (110, 114, "s9.1", 1, until);
   assert_int_equal (soak_audit_held (&owners), held + 15);
   assert_int_equal (owners, before + 2);
-  soak_audit_ended ("s9.1");
+  soak_audit_server_exited ("s9.1");
   assert_int_equal (soak_audit_held (&owners), held + 10);
   assert_int_equal (owners, before + 1);
 }
