--- a/test/soak.h
+++ b/test/soak.h
@@ -1,5 +1,6 @@
-/* The parts of the soak: what the platform, the servers and the callers are to
- * the real gateways, and who checks what they see. */
+/* Interfaces between the parts of the soak test: the simulated platform store,
+ * servers, operators and callers around real gateway processes, and the checks
+ * on what they observe.  Times are in us of cc_clock_now unless stated. */
 #ifndef TEST_SOAK_H
 #define TEST_SOAK_H
 
@@ -9,21 +10,22 @@
 
 #define SOAK_KEYS 65536
 
-/* ---- what is checked (soak_audit.c) ---- */
+/* ---- audit of the guarantees (soak_audit.c) ---- */
 
 void soak_audit_log (const char *format, ...) G_GNUC_PRINTF (1, 2);
 void soak_audit_sent (const char *id, gboolean once);
 void soak_audit_started (const char *id, const char *pool, const char *server);
 void soak_audit_answered (const char *id, guint status, const char *body);
-/* Keys FROM to TO are granted to LIFE (a server's id and start) until UNTIL, us
- * of cc_clock_now, with FENCE. */
-void soak_audit_granted (guint from, guint to, const char *life, guint64 fence,
-                         gint64 until);
-void soak_audit_released (guint from, guint to, const char *life);
-void soak_audit_server_exited (const char *life);
+/* Records that keys FROM to TO are granted, with FENCE, until UNTIL to
+ * INCARNATION, one run of a server ("ID.START"). */
+void soak_audit_granted (guint from, guint to, const char *incarnation,
+                         guint64 fence, gint64 until);
+void soak_audit_released (guint from, guint to, const char *incarnation);
+void soak_audit_server_exited (const char *incarnation);
 void soak_audit_fail (const char *format, ...) G_GNUC_PRINTF (1, 2);
 guint soak_audit_violations (void);
-/* Asked and well answered since the last call. */
+/* Returns and resets the counts of requests sent and of requests answered with
+ * status 200 since the last call. */
 void soak_audit_take_served (guint *asked, guint *served);
 void soak_audit_check_retry_budget (double ratio, double slack, gint64 window);
 void soak_audit_summary (void);
@@ -31,10 +33,10 @@
 typedef struct
 {
   guint asked, once, answered, refused;
-  guint ran_twice;     /* once-only requests that did */
-  guint refused_ran;   /* told that they had not run, and did */
-  guint wrong_answers; /* of another request */
-  guint owner_faults;  /* grants of a key that was another's */
+  guint ran_twice;     /* once-only requests that ran more than once */
+  guint refused_ran;   /* requests reported as not run that did run */
+  guint wrong_answers; /* responses that belong to another request */
+  guint owner_faults;  /* grants of a key that another server held */
 } SoakAuditCounts;
 
 void soak_audit_count (SoakAuditCounts *c);
@@ -46,10 +48,11 @@
 {
   SOAK_TABLE_HEALTHY,
   SOAK_TABLE_DOWN,          /* 503 */
-  SOAK_TABLE_SLOW,          /* answers wait */
-  SOAK_TABLE_RESPONSE_LOST, /* writes are done and not answered */
-  SOAK_TABLE_LATE_WRITE     /* writes are done later if still allowed, never
-                               answered */
+  SOAK_TABLE_SLOW,          /* responses are delayed */
+  SOAK_TABLE_RESPONSE_LOST, /* writes are applied, without a response */
+  /* writes are applied later if their conditions still hold, and get no
+   * response */
+  SOAK_TABLE_LATE_WRITE
 } SoakTableMode;
 
 void soak_table_listen (const char *address);
@@ -65,14 +68,15 @@
 typedef enum
 {
   SOAK_SERVER_HEALTHY,
-  SOAK_SERVER_SLOW,            /* work takes five times as long */
-  SOAK_SERVER_DROPS_RESPONSES, /* of some requests that ran, answers never come
-                                */
-  SOAK_SERVER_MIXES_RESPONSES, /* ... they are another request's */
-  SOAK_SERVER_LATE_GRANTS      /* grants are carried out late, without answer */
+  SOAK_SERVER_SLOW, /* work takes five times as long */
+  /* some requests run, but get no response or that of another request */
+  SOAK_SERVER_DROPS_RESPONSES,
+  SOAK_SERVER_MIXES_RESPONSES,
+  SOAK_SERVER_LATE_GRANTS /* some grants are applied late, without response */
 } SoakServerMode;
 
-/* RAN is called with each request that a server runs. */
+/* Sets the function that is called for each request when a server starts to
+ * run it. */
 void soak_servers_set_run_callback (void (*ran) (const char *id,
                                                  const char *pool,
                                                  const char *target));
@@ -84,14 +88,14 @@
 void soak_server_set_mode (SoakServer *s, SoakServerMode mode);
 gboolean soak_server_is_up (const SoakServer *s);
 
-/* ---- the operators (soak_config.c) ---- */
+/* ---- configurations written by operators (soak_config.c) ---- */
 
-/* What some versions allow for one request. */
+/* What a range of configurations allows for one request. */
 typedef struct
 {
-  gboolean always; /* each of them has a route for it */
-  guint pools;     /* that one of them allows, bit by bit */
-  guint timeout;   /* the longest, ms */
+  gboolean always; /* every configuration has a route for it */
+  guint pools;     /* bit set of the pools that any of them routes it to */
+  guint timeout;   /* longest timeout, ms */
 } SoakAllowed;
 
 void soak_config_begin (guint seed);
@@ -108,9 +112,9 @@
                                const char *pool);
 void soak_config_draw_target (const char **host, char **path);
 
-/* ---- which configuration each gateway must have (soak_watch.c) ---- */
+/* ---- configuration that each gateway must have (soak_watch.c) ---- */
 
-#define SOAK_ALL G_MAXUINT /* in place of a gateway */
+#define SOAK_ALL G_MAXUINT /* index that stands for all gateways */
 
 void soak_watch_begin (const char *ip, char **admin);
 void soak_watch_started (guint gateway, const char *pid);
@@ -125,7 +129,7 @@
 void soak_watch_stop (void);
 void soak_watch_report (void);
 
-/* ---- what becomes of a request (soak_probe.c) ---- */
+/* ---- checks of routing and timeouts of each request (soak_probe.c) ---- */
 
 void soak_probe_sent (guint gateway, const char *id, const char *host,
                       const char *target);
--- a/test/test_soak_audit.c
+++ b/test/test_soak_audit.c
@@ -1,5 +1,5 @@
-/* The audit of the soak and of the demo must find what it is there to find:
- * each case breaks one promise, or none. */
+/* Guards against an audit (of the soak and of the demo) that misses violations
+ * or reports valid behaviour: each case breaks one guarantee, or none. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -11,7 +11,7 @@
 #include "clock.h"
 #include "soak.h"
 
-#define HOLD (10 * CC_SECOND)
+#define HOLD_US (10 * CC_SECOND)
 
 static void
 run_once_only_twice (void)
@@ -47,7 +47,7 @@
 }
 
 static void
-answer_crosswise (void)
+answer_another_request (void)
 {
   soak_audit_sent ("mine", FALSE);
   soak_audit_started ("mine", "free", "s1");
@@ -57,7 +57,7 @@
 static void
 grant_held_key (void)
 {
-  gint64 until = cc_clock_now () + HOLD;
+  gint64 until = cc_clock_now () + HOLD_US;
 
   soak_audit_granted (0, 9, "s1.1", 1, until);
   soak_audit_granted (9, 12, "s2.1", 2, until);
@@ -66,7 +66,7 @@
 static void
 grant_released_key (void)
 {
-  gint64 until = cc_clock_now () + HOLD;
+  gint64 until = cc_clock_now () + HOLD_US;
 
   soak_audit_granted (20, 29, "s1.1", 1, until);
   soak_audit_released (20, 29, "s1.1");
@@ -76,8 +76,8 @@
 typedef struct
 {
   const char *name;
-  void (*act) (void);
-  SoakAuditCounts found; /* more than before */
+  void (*run) (void);
+  SoakAuditCounts found; /* expected increase of the counts */
 } Case;
 
 static const Case cases[] = {
@@ -85,7 +85,7 @@
   { "an idempotent request is repeated", repeat_idempotent, { 0 } },
   { "it ran and is refused", refuse_after_run, { .refused_ran = 1 } },
   { "it is refused and runs later", run_after_refusal, { .refused_ran = 1 } },
-  { "the answer is another's", answer_crosswise, { .wrong_answers = 1 } },
+  { "the answer is another's", answer_another_request, { .wrong_answers = 1 } },
   { "a key is granted that is held", grant_held_key, { .owner_faults = 1 } },
   { "a key is granted that was released", grant_released_key, { 0 } },
 };
@@ -103,7 +103,7 @@
       SoakAuditCounts before, after;
 
       soak_audit_count (&before);
-      cases[i].act ();
+      cases[i].run ();
       soak_audit_count (&after);
       print_message ("%s\n", cases[i].name);
       assert_int_equal (after.ran_twice - before.ran_twice, f->ran_twice);
@@ -119,7 +119,7 @@
 static void
 owners_are_counted (void **state)
 {
-  gint64 until = cc_clock_now () + HOLD;
+  gint64 until = cc_clock_now () + HOLD_US;
   guint before, owners;
   guint held = soak_audit_held (&before);
 
