--- a/test/soak.c
+++ b/test/soak.c
@@ -1,14 +1,17 @@
-/* A soak of the real gateways: three processes on loopback behind a relay, a
- * store and servers that this program plays, callers that ask all the time, and
- * a seed's series of faults from outside: links cut, one way, silenced, reset
- * and delayed; processes stopped, paused, killed and started again; the store
- * down, slow, deaf after it wrote, late, forgetful; servers that crash, come
- * back, leave, slow down and take grants late; new configurations; bursts.
- * Faults overlap.  The promises are checked while it goes on (soak_audit.c);
- * when the faults have ended, nearly all must be served again.
+/* Soak test of real gateways: three gateway processes on loopback behind a
+ * relay, with a store, servers and callers that this program simulates.  A
+ * seeded random series of overlapping external faults is injected:
+ *   - links are cut in both directions or one, blackholed, reset or delayed;
+ *   - gateways are stopped, paused, killed and restarted;
+ *   - the store is down or slow, drops its responses after it has written,
+ *     applies writes late or loses its change history;
+ *   - servers crash, come back, leave, slow down or apply grants late;
+ *   - configurations change, and load comes in bursts.
+ * The router's guarantees are checked throughout (soak_audit.c).  After the
+ * faults nearly all requests must be served again.
  *
  *   soak --seed 7 --seconds 20
- * ends with 0 if no promise was broken. */
+ * exits with status 0 if no guarantee was violated. */
 #include <math.h>
 #include <signal.h>
 #include <stdio.h>
@@ -28,21 +31,25 @@
 
 #define GATEWAYS 3
 #define SERVERS 9
-#define KEYED 5 /* of them in the pool that owns keys */
-#define PER_SECOND 70
+/* Of the servers, so many are in the pool whose servers own keys. */
+#define KEYED_SERVERS 5
+#define REQUESTS_PER_S 70
 #define STOP_GRACE_MS 3000
-#define GRACE_MS (STOP_GRACE_MS + 500) /* with the time to notice */
-/* From the end of all faults until callers are served again: the longest term
- * that a lost holder of keys is waited for, and a start. */
+/* The stop grace period, with a margin for the exit to be noticed. */
+#define EXIT_TIMEOUT_MS (STOP_GRACE_MS + 500)
+/* Time from the end of all faults until callers are served again: the longest
+ * wait for the grants of a lost holder to lapse, and a process start. */
 #define RECOVERY_MS 16000
-#define MEASURED_MS 3000
-#define MEASURES 5 /* at most */
-/* Callers don't use a connection that is idle for longer. */
-#define KEPT_MS 6000
-/* Configurations go on changing while what was harmed recovers. */
-#define CHANGES_AFTER_MS 8000
-#define SERVED_LEAST 0.95
-/* The operators' bound on repeats. */
+#define MEASUREMENT_MS 3000
+#define MEASUREMENTS_MAX 5
+/* Callers close connections that were idle for longer. */
+#define IDLE_CONNECTION_MS 6000
+/* Configurations go on changing for so long, so that gateways recover under
+ * change. */
+#define CHANGES_AFTER_FAULTS_MS 8000
+#define SERVED_SHARE_MIN 0.95
+/* The retry budget: ratio of repeats to requests, repeats allowed on top, and
+ * the window in s. */
 #define RETRY_RATIO "0.2"
 #define RETRY_SLACK "20"
 #define RETRY_WINDOW "10"
@@ -50,13 +57,13 @@
 typedef struct
 {
   guint index;
-  char *name;  /* in the relay's rules */
-  char *front; /* where callers find it */
+  char *name;  /* name in the relay's rules */
+  char *front; /* address for callers, at the relay */
   GSubprocess *process;
   guint runs;
-  guint signalled; /* signals that this program sent to this run to end it */
+  guint signalled; /* terminating signals sent to this run */
   gboolean paused;
-  gint64 resumed; /* when a pause last ended, us */
+  gint64 resumed; /* end of the latest pause, us */
 } Gateway;
 
 typedef enum
@@ -73,13 +80,13 @@
   FAULT_RESET,
   FAULT_DELAY,
   FAULT_TABLE,
-  FAULT_FORGET,
+  FAULT_TRUNCATE_HISTORY,
   FAULT_CRASH,
-  FAULT_CRASH_SAME,
+  FAULT_CRASH_SAME_ID,
   FAULT_DRAIN,
-  FAULT_SLOW,
+  FAULT_SLOW_OR_BAD_RESPONSES,
   FAULT_LATE_GRANTS,
-  FAULT_CONFIGURE,
+  FAULT_CONFIGURATION,
   FAULT_BURST,
   FAULTS
 } FaultKind;
@@ -94,11 +101,11 @@
 typedef struct
 {
   FaultKind kind;
-  guint span; /* ms */
+  guint span; /* duration, ms */
   guint gateway, server;
-  guint draw;
-  char *a, *b; /* of a rule of the relay */
-  guint run;   /* of the gateway, when it began */
+  guint draw;  /* random number that selects a variant of KIND */
+  char *a, *b; /* the endpoints of a rule of the relay */
+  guint run;   /* run of the gateway at the start of the fault */
 } Fault;
 
 static struct
@@ -106,28 +113,31 @@
   const char *bin;
   guint net;
   char *folder;
-  char *control; /* of the relay */
+  char *control; /* control address of the relay */
   GSubprocess *relay;
   Gateway gateways[GATEWAYS];
   SoakServer *servers[SERVERS];
-  char **fronts; /* where callers find the gateways */
-  char **admin;  /* where their metrics are */
+  char **fronts; /* gateway addresses for callers */
+  char **admin;  /* gateway addresses for metrics */
   gboolean ending;
   GMainLoop *loop;
 } soak;
 
+/* Returns the address 127.NET.GROUP.INDEX:PORT. */
 static char *
 address (guint group, guint index, guint port)
 {
   return g_strdup_printf ("127.%u.%u.%u:%u", soak.net, group, index, port);
 }
 
+/* Returns the address that the simulated store listens on. */
 static char *
 table_address (void)
 {
   return address (0, 2, 7000);
 }
 
+/* Returns the address of the store at the relay, for the gateways. */
 static char *
 table_front (void)
 {
@@ -136,6 +146,7 @@
 
 /* ---- the relay ---- */
 
+/* Writes the relay's map of fronts and sources to FILE. */
 static void
 write_map (const char *file)
 {
@@ -160,6 +171,8 @@
   g_file_set_contents (file, s->str, -1, NULL);
 }
 
+/* Sends the command VERB for the endpoints A and B to the relay, with MORE
+ * query parameters ("&name=value"). */
 static void
 relay (const char *verb, const char *a, const char *b, const char *more)
 {
@@ -169,6 +182,7 @@
   cluster_http ("PUT", url, "", NULL, NULL);
 }
 
+/* Starts the relay and waits for up to 2 s until it responds. */
 static void
 start_relay (void)
 {
@@ -191,13 +205,14 @@
         return;
       g_usleep (20000);
     }
-  g_error ("soak: the relay does not answer");
+  g_error ("soak: no response from the relay");
 }
 
 /* ---- gateways ---- */
 
 static void start_gateway (Gateway *g);
 
+/* Restarts a gateway unless the test is ending. */
 static gboolean
 on_restart (gpointer data)
 {
@@ -206,8 +221,10 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Reports a gateway that exited without a signal from this program, and
+ * restarts it after 50 to 1000 ms. */
 static void
-on_ended (GObject *process, GAsyncResult *result, gpointer data)
+on_gateway_exit (GObject *process, GAsyncResult *result, gpointer data)
 {
   Gateway *g = data;
   GSubprocess *p = G_SUBPROCESS (process);
@@ -224,6 +241,7 @@
   g_timeout_add ((guint) g_random_int_range (50, 1000), on_restart, g);
 }
 
+/* Starts a new run of G with a log file of its own. */
 static void
 start_gateway (Gateway *g)
 {
@@ -249,22 +267,24 @@
   g->signalled = 0;
   g->paused = FALSE;
   soak_watch_started (g->index - 1, g_subprocess_get_identifier (g->process));
-  g_subprocess_wait_async (g->process, NULL, on_ended, g);
+  g_subprocess_wait_async (g->process, NULL, on_gateway_exit, g);
 }
 
+/* Sends SIGNAL_NUMBER to G if it runs. */
 static void
-signal_gateway (Gateway *g, int number)
+signal_gateway (Gateway *g, int signal_number)
 {
   if (g->process == NULL)
     return;
-  g->signalled += number == SIGKILL || number == SIGTERM;
-  g_subprocess_send_signal (g->process, number);
+  g->signalled += signal_number == SIGKILL || signal_number == SIGTERM;
+  g_subprocess_send_signal (g->process, signal_number);
 }
 
-/* A stop that takes longer than its grace, in which the process could run: a
- * signal that comes during a pause is seen at its end. */
+/* Reports and kills a gateway that was stopped and outlasted its grace period.
+ * Only the time since the latest pause counts: a signal sent to a paused
+ * process is delivered when it resumes. */
 static gboolean
-on_grace_over (gpointer data)
+on_exit_timeout (gpointer data)
 {
   Fault *f = data;
   Gateway *g = &soak.gateways[f->gateway];
@@ -272,9 +292,10 @@
 
   if (g->process == NULL || g->runs != f->run)
     return G_SOURCE_REMOVE;
-  if (!g->paused && ran < GRACE_MS * CC_MS)
+  if (!g->paused && ran < EXIT_TIMEOUT_MS * CC_MS)
     {
-      g_timeout_add (GRACE_MS - (guint) (ran / CC_MS), on_grace_over, f);
+      g_timeout_add (EXIT_TIMEOUT_MS - (guint) (ran / CC_MS), on_exit_timeout,
+                     f);
       return G_SOURCE_REMOVE;
     }
   if (!g->paused)
@@ -286,37 +307,42 @@
 
 /* ---- faults ---- */
 
+/* Whether NAME is an endpoint of F. */
 static gboolean
-ends_at (const Fault *f, const char *name)
+affects (const Fault *f, const char *name)
 {
   return g_str_equal (f->a, name) || g_str_equal (f->b, name);
 }
 
+/* Ends the fault of a silenced link to callers. */
 static gboolean
-on_callers_again (gpointer gateway)
+on_idle_connections_closed (gpointer gateway)
 {
   soak_watch_caller_fault (GPOINTER_TO_UINT (gateway), FALSE);
   return G_SOURCE_REMOVE;
 }
 
-/* Connections of WHOM that are silent now go on to be. */
+/* Reports to soak_watch.c that connections of GATEWAYS were blackholed or
+ * reset.  Those that are blackholed remain so after the fault, so the link to
+ * callers counts as faulty until callers have closed their idle connections. */
 static void
-disturb_silenced (const Fault *f, guint whom)
+report_silence (const Fault *f, guint gateways)
 {
-  if (ends_at (f, "table"))
-    soak_watch_brief_fault (whom);
-  if (!ends_at (f, "callers"))
+  if (affects (f, "table"))
+    soak_watch_brief_fault (gateways);
+  if (!affects (f, "callers"))
     return;
-  soak_watch_caller_fault (whom, TRUE);
-  g_timeout_add (KEPT_MS, on_callers_again, GUINT_TO_POINTER (whom));
+  soak_watch_caller_fault (gateways, TRUE);
+  g_timeout_add (IDLE_CONNECTION_MS, on_idle_connections_closed,
+                 GUINT_TO_POINTER (gateways));
 }
 
-/* The harm that F does to what gateways need for their configuration, or to
- * what callers see of them, begins or ends. */
+/* Reports the start or end of F to soak_watch.c if it may delay configurations
+ * or the responses to callers. */
 static void
-disturb (const Fault *f, gboolean begins)
+report_fault (const Fault *f, gboolean begins)
 {
-  guint whom = ends_at (f, "gateways") ? SOAK_ALL : f->gateway;
+  guint gateways = affects (f, "gateways") ? SOAK_ALL : f->gateway;
 
   switch (f->kind)
     {
@@ -330,10 +356,10 @@
     case FAULT_CUT_CALLERS:
     case FAULT_ONE_WAY:
     case FAULT_DELAY:
-      if (ends_at (f, "table"))
-        soak_watch_gateway_fault (whom, begins);
-      if (ends_at (f, "callers"))
-        soak_watch_caller_fault (whom, begins);
+      if (affects (f, "table"))
+        soak_watch_gateway_fault (gateways, begins);
+      if (affects (f, "callers"))
+        soak_watch_caller_fault (gateways, begins);
       break;
     case FAULT_KILL:
     case FAULT_STOP:
@@ -343,27 +369,29 @@
     case FAULT_SILENCE:
     case FAULT_RESET:
       if (begins)
-        disturb_silenced (f, whom);
+        report_silence (f, gateways);
       break;
     default:
       break;
     }
 }
 
+/* Sets the rule of F at the relay. */
 static void
-begin_rule (Fault *f, const char *verb, const char *more)
+set_rule (Fault *f, const char *verb, const char *more)
 {
   relay (verb, f->a, f->b, more);
 }
 
+/* Ends a fault: removes its rule or restores the process. */
 static gboolean
-on_fault_over (gpointer data)
+end_fault (gpointer data)
 {
   Fault *f = data;
   Gateway *g = &soak.gateways[f->gateway];
   SoakServer *s = soak.servers[f->server];
 
-  disturb (f, FALSE);
+  report_fault (f, FALSE);
   switch (f->kind)
     {
     case FAULT_PAUSE:
@@ -386,11 +414,11 @@
       if (!soak_server_is_up (s))
         soak_server_start (s, FALSE);
       break;
-    case FAULT_CRASH_SAME:
+    case FAULT_CRASH_SAME_ID:
       if (!soak_server_is_up (s))
         soak_server_start (s, TRUE);
       break;
-    case FAULT_SLOW:
+    case FAULT_SLOW_OR_BAD_RESPONSES:
     case FAULT_LATE_GRANTS:
       soak_server_set_mode (s, SOAK_SERVER_HEALTHY);
       break;
@@ -403,11 +431,14 @@
   return G_SOURCE_REMOVE;
 }
 
-/* A server that is slow, or whose answers can not be used. */
-static const SoakServerMode slow_modes[] = { SOAK_SERVER_SLOW, SOAK_SERVER_SLOW,
-                                             SOAK_SERVER_DROPS_RESPONSES,
-                                             SOAK_SERVER_MIXES_RESPONSES };
+/* Modes of a server that is slow or whose responses are unusable; slowness is
+ * drawn as often as both others together. */
+static const SoakServerMode impaired_modes[] = { SOAK_SERVER_SLOW,
+                                                 SOAK_SERVER_SLOW,
+                                                 SOAK_SERVER_DROPS_RESPONSES,
+                                                 SOAK_SERVER_MIXES_RESPONSES };
 
+/* Injects F. */
 static void
 begin_fault (Fault *f)
 {
@@ -423,7 +454,7 @@
     case FAULT_STOP:
       f->run = g->runs;
       signal_gateway (g, SIGTERM);
-      g_timeout_add (GRACE_MS, on_grace_over, f);
+      g_timeout_add (EXIT_TIMEOUT_MS, on_exit_timeout, f);
       break;
     case FAULT_PAUSE:
       g->paused = TRUE;
@@ -435,40 +466,41 @@
     case FAULT_CUT_TABLE:
     case FAULT_CUT_SERVER:
     case FAULT_CUT_CALLERS:
-      begin_rule (f, "cut", "");
+      set_rule (f, "cut", "");
       break;
     case FAULT_ONE_WAY:
-      begin_rule (f, "oneway", "");
+      set_rule (f, "oneway", "");
       break;
     case FAULT_SILENCE:
-      begin_rule (f, "silence", "");
+      set_rule (f, "silence", "");
       break;
     case FAULT_RESET:
-      begin_rule (f, "reset", "&percent=60");
+      set_rule (f, "reset", "&percent=60");
       break;
     case FAULT_DELAY:
-      begin_rule (f, "delay", delay);
+      set_rule (f, "delay", delay);
       break;
     case FAULT_TABLE:
       soak_table_set_mode (SOAK_TABLE_DOWN + f->draw % 4);
       break;
-    case FAULT_FORGET:
+    case FAULT_TRUNCATE_HISTORY:
       soak_table_truncate_history ();
       break;
     case FAULT_CRASH:
-    case FAULT_CRASH_SAME:
+    case FAULT_CRASH_SAME_ID:
       soak_server_crash (s);
       break;
     case FAULT_DRAIN:
       soak_server_drain (s);
       break;
-    case FAULT_SLOW:
-      soak_server_set_mode (s, slow_modes[f->draw % G_N_ELEMENTS (slow_modes)]);
+    case FAULT_SLOW_OR_BAD_RESPONSES:
+      soak_server_set_mode (
+          s, impaired_modes[f->draw % G_N_ELEMENTS (impaired_modes)]);
       break;
     case FAULT_LATE_GRANTS:
       soak_server_set_mode (s, SOAK_SERVER_LATE_GRANTS);
       break;
-    case FAULT_CONFIGURE:
+    case FAULT_CONFIGURATION:
       soak_config_change ();
       break;
     case FAULT_BURST:
@@ -479,6 +511,7 @@
     }
 }
 
+/* Logs and injects a fault, and schedules its end. */
 static gboolean
 on_fault (gpointer data)
 {
@@ -487,15 +520,15 @@
   soak_audit_log ("%s: gw%u, s%u, %s-%s, %u ms, draw %u", fault_names[f->kind],
                   f->gateway + 1, f->server + 1, f->a, f->b, f->span,
                   f->draw % 4);
-  disturb (f, TRUE);
+  report_fault (f, TRUE);
   begin_fault (f);
-  g_timeout_add (f->span, on_fault_over, f);
+  g_timeout_add (f->span, end_fault, f);
   return G_SOURCE_REMOVE;
 }
 
-/* The ends of the links that a fault of KIND is about. */
+/* Draws the endpoints of the links that F affects. */
 static void
-name_ends (Fault *f, GRand *r)
+choose_endpoints (Fault *f, GRand *r)
 {
   const char *gateway = soak.gateways[f->gateway].name;
   g_autofree char *server = g_strdup_printf ("s%u", f->server + 1);
@@ -528,13 +561,15 @@
     }
 }
 
-/* Draws the series of SEED, whose faults begin within FOR_MS after FROM_MS.
- * Returns when the last of them is over, ms. */
+/* Schedules the faults drawn from SEED, which start within FOR_MS after
+ * FROM_MS at exponentially distributed intervals of 600 ms
+ * on average.  Returns when the last of
+ * them ends, ms. */
 static guint
 plan_faults (guint seed, guint from_ms, guint for_ms)
 {
   GRand *r = g_rand_new_with_seed (seed);
-  guint over = from_ms + for_ms;
+  guint end = from_ms + for_ms;
 
   for (guint at = from_ms; at < from_ms + for_ms;
        at += (guint) (-600.0 * log (1.0 - 0.999 * g_rand_double (r))))
@@ -546,12 +581,12 @@
       f->gateway = (guint) g_rand_int_range (r, 0, GATEWAYS);
       f->server = (guint) g_rand_int_range (r, 0, SERVERS);
       f->draw = (guint) g_rand_int_range (r, 0, 10000);
-      name_ends (f, r);
+      choose_endpoints (f, r);
       g_timeout_add (at, on_fault, f);
-      over = MAX (over, at + f->span);
+      end = MAX (end, at + f->span);
     }
   g_rand_free (r);
-  return over;
+  return end;
 }
 
 static gboolean
@@ -562,8 +597,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Configurations change for FOR_MS: some in quick succession, some after all
- * could take the one before. */
+/* Schedules configuration changes for FOR_MS.  Half of the intervals are short,
+ * the others long enough for all gateways to apply the configuration. */
 static void
 plan_changes (guint seed, guint for_ms)
 {
@@ -579,21 +614,24 @@
 /* ---- the run ---- */
 
 static gboolean
-on_quit (gpointer loop)
+on_run_over (gpointer loop)
 {
   g_main_loop_quit (loop);
   return G_SOURCE_REMOVE;
 }
 
+/* Runs the main loop for MS. */
 static void
-turn (guint ms)
+run_for (guint ms)
 {
-  g_timeout_add (ms, on_quit, soak.loop);
+  g_timeout_add (ms, on_run_over, soak.loop);
   g_main_loop_run (soak.loop);
 }
 
+/* Starts the store, the servers and the gateways, with the first configuration
+ * of SEED. */
 static void
-build (guint seed)
+start_deployment (guint seed)
 {
   g_autofree char *table = table_address ();
 
@@ -603,11 +641,11 @@
       g_autofree char *real = address (3, i + 1, 7200);
       g_autofree char *front = address (4, i + 1, 7200);
 
-      soak.servers[i] = soak_server_new (i < KEYED       ? "keys"
-                                         : i < KEYED + 2 ? "free"
-                                                         : "more",
-                                         i < KEYED, i % 2 == 0 ? "a" : "b",
-                                         real, front, i + 1);
+      soak.servers[i] = soak_server_new (
+          i < KEYED_SERVERS       ? "keys"
+          : i < KEYED_SERVERS + 2 ? "free"
+                                  : "more",
+          i < KEYED_SERVERS, i % 2 == 0 ? "a" : "b", real, front, i + 1);
       soak_server_start (soak.servers[i], FALSE);
     }
   soak_config_begin (seed);
@@ -626,41 +664,45 @@
     }
 }
 
-/* All faults are over: what callers get now must be as it was before. */
+/* Waits for recovery after the last fault and checks the share of requests that
+ * are served. */
 static void
 check_recovery (void)
 {
   guint asked, served, starved;
 
-  turn (RECOVERY_MS);
-  /* On a machine that did not let a gateway run, nothing is measured. */
-  for (guint i = 0; i < MEASURES; i++)
+  run_for (RECOVERY_MS);
+  /* A measurement in which a gateway was starved of CPU time says nothing about
+   * the gateway, and is repeated. */
+  for (guint i = 0; i < MEASUREMENTS_MAX; i++)
     {
       soak_audit_take_served (&asked, &served);
       starved = soak_watch_starved ();
-      turn (MEASURED_MS);
+      run_for (MEASUREMENT_MS);
       soak_audit_take_served (&asked, &served);
       if (soak_watch_starved () == starved)
         break;
     }
   soak_audit_log ("after the faults: %u of %u served", served, asked);
-  if (served < SERVED_LEAST * asked)
+  if (served < SERVED_SHARE_MIN * asked)
     soak_audit_fail ("%u of %u served after the faults", served, asked);
 }
 
+/* Stops callers, gateways and the relay.  Checks that no request is left
+ * without a result and that each gateway exits within its grace period. */
 static void
-end_all (void)
+stop_deployment (void)
 {
   soak_callers_stop ();
   for (guint i = 0; i < 100 && soak_callers_pending () > 0; i++)
-    turn (50);
+    run_for (50);
   if (soak_callers_pending () > 0)
     soak_audit_fail ("%u requests never ended", soak_callers_pending ());
   soak.ending = TRUE;
   soak_watch_stop ();
   for (guint i = 0; i < GATEWAYS; i++)
     signal_gateway (&soak.gateways[i], SIGTERM);
-  turn (STOP_GRACE_MS + 500);
+  run_for (STOP_GRACE_MS + 500);
   for (guint i = 0; i < GATEWAYS; i++)
     if (soak.gateways[i].process != NULL)
       {
@@ -673,18 +715,20 @@
 int
 main (int argc, char **argv)
 {
-  CcSetting settings[] = {
-    { CC_SETTING_STRING, "instance", "soak", "name in logs", 0, 0, NULL },
-    { CC_SETTING_STRING, "bin", "build", "folder of the programs", 0, 0, NULL },
-    { CC_SETTING_NUMBER, "seed", "1", "of the faults", 0, G_MAXINT32, NULL },
-    { CC_SETTING_NUMBER, "seconds", "20", "in which faults begin", 1, 86400,
-      NULL },
-    { 0 }
-  };
+  CcSetting settings[] = { { CC_SETTING_STRING, "instance", "soak",
+                             "name in logs", 0, 0, NULL },
+                           { CC_SETTING_STRING, "bin", "build",
+                             "directory of the programs", 0, 0, NULL },
+                           { CC_SETTING_NUMBER, "seed", "1",
+                             "seed of the faults", 0, G_MAXINT32, NULL },
+                           { CC_SETTING_NUMBER, "seconds", "20",
+                             "time in which faults start, s", 1, 86400, NULL },
+                           { 0 } };
   g_autofree char *callers = NULL;
-  guint seed, over;
+  guint seed, end;
 
-  if (cc_settings_read (settings, "soak", "Faults for the real gateways.", argc,
+  if (cc_settings_read (settings, "soak",
+                        "Soak test of real gateways under faults.", argc,
                         argv) != CC_START_RUN)
     return 2;
   signal (SIGPIPE, SIG_IGN);
@@ -699,19 +743,19 @@
   g_random_set_seed (seed);
   callers = g_strdup_printf ("127.%u.9.1", soak.net);
   soak_audit_log ("seed %u, logs in %s", seed, soak.folder);
-  build (seed);
+  start_deployment (seed);
   start_relay ();
-  turn (4000);
+  run_for (4000);
   soak_watch_begin (callers, soak.admin);
-  soak_callers_start (soak.fronts, callers, PER_SECOND);
-  turn (2000);
-  over = plan_faults (seed, 0,
-                      (guint) cc_setting_number (settings, "seconds") * 1000);
-  plan_changes (seed, over + CHANGES_AFTER_MS);
-  turn (over + 200);
+  soak_callers_start (soak.fronts, callers, REQUESTS_PER_S);
+  run_for (2000);
+  end = plan_faults (seed, 0,
+                     (guint) cc_setting_number (settings, "seconds") * 1000);
+  plan_changes (seed, end + CHANGES_AFTER_FAULTS_MS);
+  run_for (end + 200);
   relay ("heal", "", "", "");
   check_recovery ();
-  end_all ();
+  stop_deployment ();
   soak_audit_check_retry_budget (
       g_ascii_strtod (RETRY_RATIO, NULL), g_ascii_strtod (RETRY_SLACK, NULL),
       g_ascii_strtoll (RETRY_WINDOW, NULL, 10) * CC_SECOND);
