--- a/test/soak_watch.c
+++ b/test/soak_watch.c
@@ -1,10 +1,11 @@
-/* Which version of the configuration each gateway has, by its own metrics, and
- * which it must have at least.
+/* Tracks the configuration version of each gateway, as its metrics report it,
+ * and checks it against the version that the gateway must have at least.
  *
- * A gateway is in touch while, for STABLE, it ran, its link to the store was
- * not harmed and the store was well.  Then it has each version within APPLY of
- * its writing, also if it started or healed at the beginning of STABLE.  In one
- * run it never goes back. */
+ * A gateway counts as connected once, for STABLE_FOR, it ran, its link to the
+ * store had no fault and the store was healthy.  It must then apply each
+ * version within APPLY_WITHIN of its writing, also if it started or recovered
+ * at the beginning of that time.  Within one run its version never decreases.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -14,158 +15,163 @@
 #include "http_link.h"
 #include "soak.h"
 
-#define APPLY (2000 * CC_MS)
-#define STABLE (3000 * CC_MS)
+#define APPLY_WITHIN (2000 * CC_MS)
+#define STABLE_FOR (3000 * CC_MS)
 #define POLL_MS 100
 #define POLL_WITHIN (1000 * CC_MS)
-#define GATEWAYS_MOST 8
-/* A process that waited so long for a processor between two looks did not run,
- * as if it had been paused. */
-#define STARVED (200 * CC_MS)
-#define NONE G_MAXUINT
+#define GATEWAYS_MAX 8
+/* A process that waited so long for a CPU between two polls counts as paused
+ * for that time. */
+#define STARVED_MIN (200 * CC_MS)
+#define NO_ENTRY G_MAXUINT
 
-/* What may keep a gateway from its configuration. */
+/* Faults that may keep a gateway from its configuration or its callers. */
 typedef struct
 {
-  guint now;         /* disturbances that go on */
+  guint active;      /* number of faults in progress */
   gint64 last_ended; /* us */
-} Faults;
+} FaultState;
 
 typedef struct
 {
   char *admin;
-  Faults faults;
-  Faults callers; /* of its link to them */
+  FaultState faults;
+  FaultState callers; /* faults of its link to callers */
   guint run;
-  char *schedule;  /* file with the time that it waited for a processor */
-  gint64 starved;  /* of that by the last look, us */
-  gboolean polled; /* an answer is waited for */
-  guint seen;      /* the entry that this run has at least */
-  guint version;   /* by its last answer; 0: none */
-  gint64 since;    /* when that version was first seen, us */
-  guint told;      /* the last entry that was told to be overdue; NONE */
-  gint64 slowest;  /* time to take an entry while in touch, us */
+  char *schedule;  /* its schedstat file, with the time it waited for a CPU */
+  gint64 cpu_wait; /* that time at the last poll, us */
+  gboolean polled; /* a request for its metrics is in flight */
+  guint applied;   /* the entry that this run has applied at least */
+  guint version;   /* in its last response; 0: none */
+  gint64 version_since; /* when that version was first reported, us */
+  guint reported; /* last entry that was reported as overdue, or NO_ENTRY */
+  gint64 slowest; /* longest time to apply an entry while connected, us */
   guint slowest_entry;
 } Watched;
 
-/* A question for the metrics of a gateway. */
+/* A request for the metrics of a gateway. */
 typedef struct
 {
   guint gateway, run;
-  guint due; /* the entry that it must have, or NONE */
+  guint due; /* the entry that it must have, or NO_ENTRY */
 } Poll;
 
-static Watched watched[GATEWAYS_MOST];
-static guint count;
-static Faults table;
+static Watched watched[GATEWAYS_MAX];
+static guint gateway_count;
+static FaultState table_faults;
 static guint starved;
 static CcHttp *http;
 static guint timer;
 
+/* Returns since when neither W nor the store has had a fault, us; G_MAXINT64: a
+ * fault is in progress. */
 static gint64
-calm_from (const Watched *w)
+fault_free_since (const Watched *w)
 {
-  if (w->faults.now > 0 || table.now > 0)
+  if (w->faults.active > 0 || table_faults.active > 0)
     return G_MAXINT64;
-  return MAX (w->faults.last_ended, table.last_ended);
+  return MAX (w->faults.last_ended, table_faults.last_ended);
 }
 
-/* Whether since AT GATEWAY had no fault, and no caller's link to it
- * was harmed. */
+/* Whether neither GATEWAY nor its link to callers has had a fault since AT. */
 gboolean
 soak_watch_fault_free_since (guint gateway, gint64 at)
 {
   const Watched *w = &watched[gateway];
 
-  return calm_from (w) <= at && w->callers.now == 0 &&
+  return fault_free_since (w) <= at && w->callers.active == 0 &&
          w->callers.last_ended <= at;
 }
 
-/* The first stray row after entry I, or the number of entries. */
+/* Returns the first entry after I that gateways must not apply, or the number
+ * of entries. */
 static guint
-stray_after (guint i)
+invalid_after (guint i)
 {
   while (++i < soak_config_count () && soak_config_is_applicable (i))
     continue;
   return i;
 }
 
-/* The entry that W must have now, or NONE. */
+/* Returns the entry that W must have now, or NO_ENTRY. */
 static guint
 due (const Watched *w)
 {
-  gint64 now = cc_clock_now (), from = calm_from (w);
+  gint64 now = cc_clock_now (), from = fault_free_since (w);
 
-  if (from > now - STABLE)
-    return NONE;
+  if (from > now - STABLE_FOR)
+    return NO_ENTRY;
   for (guint i = soak_config_count (); i-- > 0;)
     {
       gint64 written = soak_config_written (i);
-      guint stray = stray_after (i);
+      guint invalid = invalid_after (i);
 
-      if (!soak_config_is_applicable (i) || written > now - APPLY)
+      if (!soak_config_is_applicable (i) || written > now - APPLY_WITHIN)
         continue;
-      /* Who was not in touch before the stray row can't know the one that
-       * stood there before. */
-      if (stray < soak_config_count () &&
-          soak_config_written (stray) - MAX (from, written) < STABLE)
-        return NONE;
+      /* An invalid row replaces the valid one before it, which a gateway that
+       * was not connected then can't read any more. */
+      if (invalid < soak_config_count () &&
+          soak_config_written (invalid) - MAX (from, written) < STABLE_FOR)
+        return NO_ENTRY;
       return i;
     }
-  return NONE;
+  return NO_ENTRY;
 }
 
-/* The run of GATEWAY, from 1. */
+/* Returns the number of the present run of GATEWAY, from 1. */
 guint
 soak_watch_run (guint gateway)
 {
   return watched[gateway].run;
 }
 
-/* The oldest entry by which GATEWAY may act on what is sent now. */
+/* Returns the oldest entry that GATEWAY may use for a request sent now. */
 guint
 soak_watch_oldest_entry (guint gateway)
 {
   const Watched *w = &watched[gateway];
   guint least = due (w);
 
-  return least == NONE ? w->seen : MAX (least, w->seen);
+  return least == NO_ENTRY ? w->applied : MAX (least, w->applied);
 }
 
-/* GATEWAY has acted by ENTRY or a later one in RUN. */
+/* Records that GATEWAY has used ENTRY or a later one in RUN. */
 void
 soak_watch_applied (guint gateway, guint run, guint entry)
 {
   Watched *w = &watched[gateway];
 
   if (run == w->run)
-    w->seen = MAX (w->seen, entry);
+    w->applied = MAX (w->applied, entry);
 }
 
+/* Adds a fault to T, or removes one. */
 static void
-note_fault (Faults *t, gboolean begins)
+update_fault (FaultState *t, gboolean begins)
 {
-  t->now = begins ? t->now + 1 : t->now - 1;
+  t->active = begins ? t->active + 1 : t->active - 1;
   t->last_ended = cc_clock_now ();
 }
 
-/* A fault of GATEWAY, or of all if it is SOAK_ALL, begins or ends. */
+/* Records the start or end of a fault of GATEWAY, or of the store, which
+ * affects all, if it is SOAK_ALL. */
 void
 soak_watch_gateway_fault (guint gateway, gboolean begins)
 {
-  note_fault (gateway == SOAK_ALL ? &table : &watched[gateway].faults, begins);
+  update_fault (gateway == SOAK_ALL ? &table_faults : &watched[gateway].faults,
+                begins);
 }
 
-/* The same of the link to callers. */
+/* The same for the link between callers and GATEWAY, or all gateways. */
 void
 soak_watch_caller_fault (guint gateway, gboolean begins)
 {
-  for (guint i = 0; i < count; i++)
+  for (guint i = 0; i < gateway_count; i++)
     if (gateway == SOAK_ALL || gateway == i)
-      note_fault (&watched[i].callers, begins);
+      update_fault (&watched[i].callers, begins);
 }
 
-/* A fault of GATEWAY that is over at once. */
+/* Records a fault of GATEWAY without duration, such as a reset connection. */
 void
 soak_watch_brief_fault (guint gateway)
 {
@@ -173,7 +179,8 @@
   soak_watch_gateway_fault (gateway, FALSE);
 }
 
-/* A new run of GATEWAY, the process PID, which knows nothing. */
+/* Records a new run of GATEWAY, the process PID, which has no configuration
+ * yet. */
 void
 soak_watch_started (guint gateway, const char *pid)
 {
@@ -181,73 +188,79 @@
 
   g_free (w->schedule);
   w->schedule = g_strdup_printf ("/proc/%s/schedstat", pid);
-  w->starved = 0;
+  w->cpu_wait = 0;
   w->run++;
-  w->seen = w->version = 0;
-  w->told = NONE;
+  w->applied = w->version = 0;
+  w->reported = NO_ENTRY;
   w->faults.last_ended = cc_clock_now ();
 }
 
-/* W has VERSION for the first time. */
+/* Records that W reports VERSION for the first time, and the time that it took
+ * for the entries since its last version. */
 static void
-note_version (Watched *w, guint version)
+update_version (Watched *w, guint version)
 {
   gint64 now = cc_clock_now ();
 
-  for (guint i = w->seen; i < soak_config_count (); i++)
+  for (guint i = w->applied; i < soak_config_count (); i++)
     {
       gint64 took = now - soak_config_written (i);
 
       if (!soak_config_is_applicable (i) || soak_config_version (i) > version ||
           soak_config_version (i) <= w->version || took <= w->slowest ||
-          calm_from (w) > soak_config_written (i))
+          fault_free_since (w) > soak_config_written (i))
         continue;
       w->slowest = took;
       w->slowest_entry = i;
     }
   w->version = version;
-  w->since = now;
+  w->version_since = now;
 }
 
+/* Checks the VERSION that GATEWAY reports: it was written, is not older than
+ * the last one, and is not older than that of the entry EXPECTED. */
 static void
-check_version (guint gateway, guint version, guint must)
+check_version (guint gateway, guint version, guint expected)
 {
   Watched *w = &watched[gateway];
-  guint found = version > 0 ? soak_config_find (version) : NONE;
+  guint found = version > 0 ? soak_config_find (version) : NO_ENTRY;
 
-  if (version > 0 && found == NONE)
+  if (version > 0 && found == NO_ENTRY)
     soak_audit_fail ("gw%u has version %08x, which nobody wrote", gateway + 1,
                      version);
   if (version < w->version)
     soak_audit_fail ("gw%u went back from version %08x to %08x", gateway + 1,
                      w->version, version);
-  if (must != NONE && must != w->told && version < soak_config_version (must))
+  if (expected != NO_ENTRY && expected != w->reported &&
+      version < soak_config_version (expected))
     {
-      w->told = must;
-      soak_audit_fail (
-          "gw%u has version %08x, %08x is due for %.3f s", gateway + 1, version,
-          soak_config_version (must),
-          (double) (cc_clock_now () - soak_config_written (must) - APPLY) /
-              1e6);
+      w->reported = expected;
+      soak_audit_fail ("gw%u has version %08x, %08x is due for %.3f s",
+                       gateway + 1, version, soak_config_version (expected),
+                       (double) (cc_clock_now () -
+                                 soak_config_written (expected) -
+                                 APPLY_WITHIN) /
+                           1e6);
     }
   if (version > w->version)
-    note_version (w, version);
-  if (found != NONE)
-    w->seen = MAX (w->seen, found);
+    update_version (w, version);
+  if (found != NO_ENTRY)
+    w->applied = MAX (w->applied, found);
 }
 
-/* The value of the gauge NAME in TEXT; 0: it is not there. */
+/* Returns the value of the gauge NAME in TEXT, or 0 if it is missing. */
 static guint
 read_gauge (const char *text, const char *name)
 {
   const char *at = strstr (text, name);
 
-  /* The first match may be a comment on it. */
+  /* The name also appears in the HELP and TYPE comments. */
   while (at != NULL && at > text && at[-1] != '\n')
     at = strstr (at + 1, name);
   return at != NULL ? (guint) strtod (at + strlen (name), NULL) : 0;
 }
 
+/* Checks the version in a response to a poll. */
 static void
 on_metrics (const CcHttpResult *r, gpointer data)
 {
@@ -265,49 +278,53 @@
                  p->due);
 }
 
-/* Whether the machine kept W from running since the last look. */
+/* Whether W waited for a CPU for longer than STARVED_MIN since the last poll.
+ */
 static gboolean
 was_starved (Watched *w)
 {
   g_autofree char *text = NULL;
-  gint64 waited, before = w->starved;
+  gint64 waited, before = w->cpu_wait;
   char *end;
 
   if (!g_file_get_contents (w->schedule, &text, NULL, NULL))
     return FALSE;
-  (void) g_ascii_strtoll (text, &end, 10); /* ran, ns */
+  (void) g_ascii_strtoll (text, &end, 10); /* CPU time, ns */
   waited = g_ascii_strtoll (end, NULL, 10) / 1000;
-  w->starved = waited;
-  return waited - before > STARVED;
+  w->cpu_wait = waited;
+  return waited - before > STARVED_MIN;
 }
 
+/* Counts a starved gateway as one that had a brief fault: its delays are the
+ * machine's. */
 static void
-look_for_starved (void)
+check_starvation (void)
 {
-  for (guint i = 0; i < count; i++)
+  for (guint i = 0; i < gateway_count; i++)
     if (watched[i].run > 0 && was_starved (&watched[i]))
       {
         soak_watch_brief_fault (i);
         soak_watch_caller_fault (i, TRUE);
         soak_watch_caller_fault (i, FALSE);
         starved++;
-        soak_audit_log ("gw%u waited for a processor", i + 1);
+        soak_audit_log ("gw%u waited for a CPU", i + 1);
       }
 }
 
-/* How often a gateway was kept from running by the machine. */
+/* Returns how often a gateway was found starved of CPU time. */
 guint
 soak_watch_starved (void)
 {
   return starved;
 }
 
+/* Requests the metrics of each gateway that has no request in flight. */
 static gboolean
 on_poll (gpointer unused)
 {
   (void) unused;
-  look_for_starved ();
-  for (guint i = 0; i < count; i++)
+  check_starvation ();
+  for (guint i = 0; i < gateway_count; i++)
     {
       Watched *w = &watched[i];
       CcHttpOrder o = { .address = w->admin,
@@ -332,28 +349,31 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Asks the gateways at the addresses ADMIN (to NULL) from IP. */
+/* Starts to poll the gateways at the addresses ADMIN (NULL-terminated) from
+ * IP. */
 void
 soak_watch_begin (const char *ip, char **admin)
 {
   http = cc_http_new (ip);
-  for (count = 0; admin[count] != NULL && count < GATEWAYS_MOST; count++)
-    watched[count].admin = admin[count];
+  for (gateway_count = 0;
+       admin[gateway_count] != NULL && gateway_count < GATEWAYS_MAX;
+       gateway_count++)
+    watched[gateway_count].admin = admin[gateway_count];
   timer = g_timeout_add (POLL_MS, on_poll, NULL);
 }
 
-/* Asks no more. */
+/* Stops polling. */
 void
 soak_watch_stop (void)
 {
   g_source_remove (timer);
 }
 
-/* Prints what each gateway has, and how long it took at most. */
+/* Prints the version of each gateway and the longest time to apply one. */
 void
 soak_watch_report (void)
 {
-  for (guint i = 0; i < count; i++)
+  for (guint i = 0; i < gateway_count; i++)
     {
       const Watched *w = &watched[i];
 
@@ -361,7 +381,7 @@
           "gw%u: run %u, version %08x for %.1f s; in touch, the slowest was "
           "%08x after %.3f s\n",
           i + 1, w->run, w->version,
-          (double) (cc_clock_now () - w->since) / 1e6,
+          (double) (cc_clock_now () - w->version_since) / 1e6,
           soak_config_version (w->slowest_entry), (double) w->slowest / 1e6);
     }
 }
