--- a/test/soak.h
+++ b/test/soak.h
@@ -105,10 +105,10 @@
 gint64 soak_config_written (guint i);
 gboolean soak_config_is_applicable (guint i);
 guint soak_config_find (guint version);
-void soak_config_query (guint low, const char *host, const char *path,
+void soak_config_query (guint oldest, const char *host, const char *path,
                         SoakAllowed *out);
 gboolean soak_config_allows (const SoakAllowed *a, const char *pool);
-guint soak_config_first_match (guint low, const char *host, const char *path,
+guint soak_config_first_match (guint oldest, const char *host, const char *path,
                                const char *pool);
 void soak_config_draw_target (const char **host, char **path);
 
--- a/test/soak_caller.c
+++ b/test/soak_caller.c
@@ -1,18 +1,19 @@
-/* Callers: each request has an id of its own, goes to a gateway drawn by lot,
- * on a new connection or on one kept open, and what comes back is audited.
- * Host and path are written in all forms that HTTP allows. */
+/* Simulated callers: each request has a unique id and goes to a random gateway,
+ * on a new or a kept-alive connection, and the response is audited.  Host and
+ * path are written in all equivalent forms that HTTP allows, as a gateway must
+ * route them alike. */
 #include "clock.h"
 #include "http_link.h"
 #include "soak.h"
 
 #define DEADLINE_MS 1500
-#define ANSWER_WITHIN (2500 * CC_MS)
-#define CONNECT_WITHIN (1000 * CC_MS)
-#define KEEP (6 * CC_SECOND)
+#define RESPONSE_TIMEOUT (2500 * CC_MS)
+#define CONNECT_TIMEOUT (1000 * CC_MS)
+#define KEEP_ALIVE (6 * CC_SECOND)
 #define TICK_MS 10
-#define PROBE_EACH 4 /* a probe in one tick of so many */
+#define TICKS_PER_PROBE 4 /* on average */
 
-/* What callers ask for. */
+/* The kinds of requests. */
 static const struct
 {
   const char *method, *prefix;
@@ -22,22 +23,24 @@
               { "PUT", "/change/", TRUE },
               { "GET", "/list/", FALSE } };
 
-/* Ways to write a port and the rest of a path, which mean the same route. */
-static const char *const ports[] = { "", "", ":80", ":7100", ":" };
-static const char *const tails[] = { "%s",      "%s?q=/n1/a/&x=%%2F",
-                                     "%s?",     "%s/a//b",
-                                     "a%%2F%s", "~%s;v=1,@:$!'()*+" };
+/* Forms of the port, and of the rest of the target, that don't change the
+ * route. */
+static const char *const port_suffixes[] = { "", "", ":80", ":7100", ":" };
+static const char *const target_suffixes[] = { "%s",      "%s?q=/n1/a/&x=%%2F",
+                                               "%s?",     "%s/a//b",
+                                               "a%%2F%s", "~%s;v=1,@:$!'()*+" };
 
 static char **gateways; /* addresses */
 static CcHttp *http;
 static guint per_tick_permille;
-static guint factor = 1;
+static guint rate_factor = 1;
 static guint timer;
 static guint64 next_id;
-static guint waiting;
+static guint pending;
 
+/* Passes a response, or its absence, to the checks. */
 static void
-on_done (const CcHttpResult *r, gpointer data)
+on_response (const CcHttpResult *r, gpointer data)
 {
   g_autofree char *id = data;
   guint status = r->end == CC_HTTP_ANSWERED ? r->status : 0;
@@ -46,12 +49,12 @@
                                            g_bytes_get_size (r->body))
                               : g_strdup ("");
 
-  waiting--;
+  pending--;
   soak_probe_answered (id, status);
   soak_audit_answered (id, status, body);
 }
 
-/* HOST in some of the forms that mean the same. */
+/* Returns HOST in a random equivalent form: letter case and port vary. */
 static char *
 write_host (const char *host)
 {
@@ -60,26 +63,30 @@
 
   if (g_random_boolean ())
     name[0] = g_ascii_toupper (name[0]);
-  return g_strconcat (name, ports[g_random_int_range (0, G_N_ELEMENTS (ports))],
-                      NULL);
+  return g_strconcat (
+      name, port_suffixes[g_random_int_range (0, G_N_ELEMENTS (port_suffixes))],
+      NULL);
 }
 
-/* The request line and headers of METHOD for HOST and TARGET. */
+/* Returns the request line, sometimes in absolute form, and the Host header
+ * of METHOD for HOST and TARGET. */
 static GString *
 write_head (const char *method, const char *host, const char *target)
 {
   GString *head = g_string_new (NULL);
   g_autofree char *name = write_host (host);
-  gboolean whole = g_random_int_range (0, 10) == 0;
+  gboolean absolute = g_random_int_range (0, 10) == 0;
 
   g_string_append_printf (head, "%s %s%s%s HTTP/1.1\r\n", method,
-                          whole ? "http://" : "", whole ? name : "", target);
+                          absolute ? "http://" : "", absolute ? name : "",
+                          target);
   g_string_append_printf (head, "%s%s%s\r\n",
                           g_random_boolean () ? "Host:" : "hOST: \t", name,
                           g_random_boolean () ? "" : " ");
   return head;
 }
 
+/* Sends a request to a random gateway. */
 static void
 send_call (const char *method, const char *host, const char *target,
            gboolean once, gint32 key, const char *id)
@@ -89,9 +96,9 @@
   GString *head = write_head (method, host, target);
   g_autoptr (GBytes) body = g_bytes_new_static ("x", 1);
   CcHttpOrder o = { .address = gateways[gateway],
-                    .connect_within = CONNECT_WITHIN,
-                    .answer_within = ANSWER_WITHIN,
-                    .idle_max = g_random_boolean () ? KEEP : 0 };
+                    .connect_within = CONNECT_TIMEOUT,
+                    .answer_within = RESPONSE_TIMEOUT,
+                    .idle_max = g_random_boolean () ? KEEP_ALIVE : 0 };
 
   g_string_append_printf (head,
                           "X-Request-Id: %s\r\nX-Deadline-Ms: %d\r\n"
@@ -100,16 +107,17 @@
   o.head = head->str;
   o.body = once ? body : NULL;
   soak_probe_sent (gateway, id, host, target);
-  waiting += cc_http_send (http, &o, on_done, g_strdup (id)) != NULL;
+  pending += cc_http_send (http, &o, on_response, g_strdup (id)) != NULL;
   g_string_free (head, TRUE);
 }
 
-/* A request of a kind that is always served. */
+/* Sends a request for one of the routes that every configuration has. */
 static void
-send_usual (void)
+send_routed (void)
 {
   guint k = (guint) g_random_int_range (0, G_N_ELEMENTS (kinds));
-  /* Half of the keys asked for lie in a sixteenth of them. */
+  /* Half of the requests are for the lowest sixteenth of the keys, so that load
+   * is uneven. */
   gint32 key =
       g_random_int_range (0, g_random_boolean () ? SOAK_KEYS : SOAK_KEYS / 16);
   g_autofree char *id = g_strdup_printf ("q%" G_GUINT64_FORMAT, next_id++);
@@ -119,7 +127,7 @@
   send_call (kinds[k].method, "a.example", target, kinds[k].once, key, id);
 }
 
-/* A request that some configurations may allow. */
+/* Sends a request that only some configurations may allow. */
 static void
 send_probe (void)
 {
@@ -131,25 +139,30 @@
   soak_config_draw_target (&host, &path);
   g_string_append (target, path);
   g_string_append_printf (
-      target, tails[g_random_int_range (0, G_N_ELEMENTS (tails))], id);
+      target,
+      target_suffixes[g_random_int_range (0, G_N_ELEMENTS (target_suffixes))],
+      id);
   send_call ("GET", host, target->str, FALSE, g_random_int_range (0, SOAK_KEYS),
              id);
 }
 
+/* Sends the requests due in this tick, at the set rate, and some probes. */
 static gboolean
 on_tick (gpointer unused)
 {
-  static guint due;
+  static guint due_permille;
 
   (void) unused;
-  for (due += per_tick_permille * factor; due >= 1000; due -= 1000)
-    send_usual ();
-  if (g_random_int_range (0, PROBE_EACH) == 0)
+  for (due_permille += per_tick_permille * rate_factor; due_permille >= 1000;
+       due_permille -= 1000)
+    send_routed ();
+  if (g_random_int_range (0, TICKS_PER_PROBE) == 0)
     send_probe ();
   return G_SOURCE_CONTINUE;
 }
 
-/* Asks ADDRESSES, of the gateways, from now on, PER_SECOND times, from IP. */
+/* Starts to send PER_SECOND requests a second from IP to the gateways at
+ * ADDRESSES (NULL-terminated). */
 void
 soak_callers_start (char **addresses, const char *ip, guint per_second)
 {
@@ -159,23 +172,23 @@
   timer = g_timeout_add (TICK_MS, on_tick, NULL);
 }
 
-/* From now on FACTOR times as many. */
+/* Multiplies the rate of requests by FACTOR from now on. */
 void
-soak_callers_burst (guint now)
+soak_callers_burst (guint factor)
 {
-  factor = now;
+  rate_factor = factor;
 }
 
-/* Nothing more is asked. */
+/* Stops sending requests. */
 void
 soak_callers_stop (void)
 {
   g_source_remove (timer);
 }
 
-/* Requests without an answer. */
+/* Returns the number of requests in flight. */
 guint
 soak_callers_pending (void)
 {
-  return waiting;
+  return pending;
 }
--- a/test/soak_config.c
+++ b/test/soak_config.c
@@ -1,10 +1,12 @@
-/* The operators' configurations: drawn by a seed, written to the store, and
- * remembered, so that what each allows can be asked later.
+/* Simulates operators who change the configuration: a seeded random series is
+ * written to the store and kept, so that the checks can query what each
+ * configuration allows.
  *
- * Routes of several hosts with nested and overlapping prefixes come, go, come
- * back, change their pools and are split between two; limits change; whole
- * blocks of routes are added at once.  In between stand rows that can't be read
- * and rows of an older version, for less than a second each. */
+ * Routes of several hosts with nested and overlapping prefixes are added,
+ * removed and restored, change pools or are split between two; limits change;
+ * whole blocks of routes are added or removed at once.  Sometimes an unreadable
+ * row or an older version, which gateways must not apply, takes the place of
+ * the configuration for less than a second. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -15,15 +17,16 @@
 
 #define HOSTS 3
 #define PREFIXES 9
-#define FIXED 4 /* routes that are always there, on the first host */
-#define PLACES (HOSTS * PREFIXES + FIXED)
+#define FIXED_ROUTES 4 /* routes that are always present, on the first host */
+#define ROUTES (HOSTS * PREFIXES + FIXED_ROUTES)
 #define BLOCKS 3
 #define BLOCK_ROUTES 1200
-/* A row that is no proper configuration stands for so long at most, and only
- * after one that everybody in touch has taken. */
-#define STRAY_LEAST_MS 100
-#define STRAY_MOST_MS 800
-#define STRAY_AFTER (3000 * CC_MS)
+/* A row that gateways must not apply stays for this time and is only
+ * written INVALID_AFTER an applicable one, when all connected gateways have
+ * applied that. */
+#define INVALID_MIN_MS 100
+#define INVALID_MAX_MS 800
+#define INVALID_AFTER (3000 * CC_MS)
 
 static const char *const hosts[HOSTS] = { "a.example", "b.example",
                                           "shop.a.example" };
@@ -34,10 +37,10 @@
 {
   const char *prefix, *kind;
   gboolean keyed;
-} fixed[FIXED] = { { "/look/", "safe", TRUE },
-                   { "/change/", "unsafe", TRUE },
-                   { "/book/", "unsafe", FALSE },
-                   { "/list/", "safe", FALSE } };
+} fixed_routes[FIXED_ROUTES] = { { "/look/", "safe", TRUE },
+                                 { "/change/", "unsafe", TRUE },
+                                 { "/book/", "unsafe", FALSE },
+                                 { "/list/", "safe", FALSE } };
 
 typedef enum
 {
@@ -51,46 +54,51 @@
 
 typedef struct
 {
-  gboolean there;
+  gboolean present; /* part of the configuration */
   guint weights[POOLS];
   guint timeout, target; /* ms */
   guint attempts, priority;
-} Way;
+} RouteSettings;
 
 typedef enum
 {
-  ENTRY_PROPER,
-  ENTRY_OLDER,     /* the content of an earlier one */
-  ENTRY_UNREADABLE /* changes nothing */
+  ENTRY_APPLICABLE,
+  ENTRY_STALE,     /* the content of an earlier entry: must be ignored */
+  ENTRY_UNREADABLE /* can't be parsed: must be ignored */
 } EntryKind;
 
-/* What stood in the row from WRITTEN on. */
+/* The content of the configuration row from WRITTEN on. */
 typedef struct
 {
   EntryKind kind;
   gint64 written; /* us */
   guint version;
-  Way ways[PLACES];
-  guint blocks; /* bit by bit */
+  RouteSettings routes[ROUTES];
+  guint blocks; /* bit set of the blocks that are present */
 } Entry;
 
-static GArray *entries; /* of Entry, in the order of writing */
-static Entry next;      /* what the next proper one is made from */
-static GRand *draw;
-static guint stray; /* source that ends a stray row; 0: none stands */
+static GArray *entries;  /* of Entry, in the order of writing */
+static Entry next_entry; /* base of the next applicable entry */
+static GRand *random_source;
+/* Source that replaces an invalid row; 0: there is none. */
+static guint invalid_timer;
 
+/* Returns a random number from MIN to MAX. */
 static guint
-between (guint least, guint most)
+random_between (guint min, guint max)
 {
-  return (guint) g_rand_int_range (draw, (gint32) least, (gint32) most + 1);
+  return (guint) g_rand_int_range (random_source, (gint32) min,
+                                   (gint32) max + 1);
 }
 
+/* Returns TRUE with probability 1/N. */
 static gboolean
 one_in (guint n)
 {
-  return between (1, n) == 1;
+  return random_between (1, n) == 1;
 }
 
+/* Returns entry I, valid until the next one is written. */
 static const Entry *
 entry (guint i)
 {
@@ -98,82 +106,89 @@
 }
 
 static const char *
-host_of (guint place)
+host_of (guint route)
 {
-  return place < FIXED ? hosts[0] : hosts[(place - FIXED) / PREFIXES];
+  return route < FIXED_ROUTES ? hosts[0]
+                              : hosts[(route - FIXED_ROUTES) / PREFIXES];
 }
 
 static const char *
-prefix_of (guint place)
+prefix_of (guint route)
 {
-  return place < FIXED ? fixed[place].prefix
-                       : prefixes[(place - FIXED) % PREFIXES];
+  return route < FIXED_ROUTES ? fixed_routes[route].prefix
+                              : prefixes[(route - FIXED_ROUTES) % PREFIXES];
 }
 
-/* ---- drawing ---- */
+/* ---- random changes ---- */
 
+/* Sets W to one pool, or splits it between two. */
 static void
-draw_pools (guint place, Way *w)
+randomize_pools (guint route, RouteSettings *w)
 {
   memset (w->weights, 0, sizeof w->weights);
-  if (place < FIXED && fixed[place].keyed)
+  if (route < FIXED_ROUTES && fixed_routes[route].keyed)
     w->weights[POOL_KEYS] = 1;
-  else if (place >= FIXED && one_in (6))
+  else if (route >= FIXED_ROUTES && one_in (6))
     w->weights[POOL_KEYS] = 1;
   else if (one_in (2))
-    w->weights[between (POOL_FREE, POOL_MORE)] = 1;
+    w->weights[random_between (POOL_FREE, POOL_MORE)] = 1;
   else
     {
-      w->weights[POOL_FREE] = between (1, 9);
-      w->weights[POOL_MORE] = between (1, 9);
+      w->weights[POOL_FREE] = random_between (1, 9);
+      w->weights[POOL_MORE] = random_between (1, 9);
     }
 }
 
+/* Sets the timeout, target latency, attempts and priority of W. */
 static void
-draw_bounds (Way *w)
+randomize_limits (RouteSettings *w)
 {
-  w->timeout = between (900, 1500);
-  w->target = between (200, 600);
-  w->attempts = between (1, 4);
-  w->priority = between (0, 4);
+  w->timeout = random_between (900, 1500);
+  w->target = random_between (200, 600);
+  w->attempts = random_between (1, 4);
+  w->priority = random_between (0, 4);
 }
 
+/* Adds or removes a random route, or changes its pools or its limits. */
 static void
-change_place (void)
+change_route (void)
 {
-  guint place = between (0, PLACES - 1);
-  Way *w = &next.ways[place];
+  guint route = random_between (0, ROUTES - 1);
+  RouteSettings *w = &next_entry.routes[route];
 
-  switch (between (0, 2))
+  switch (random_between (0, 2))
     {
     case 0:
-      w->there = place < FIXED || !w->there;
+      w->present = route < FIXED_ROUTES || !w->present;
       break;
     case 1:
-      draw_pools (place, w);
+      randomize_pools (route, w);
       break;
     default:
-      draw_bounds (w);
+      randomize_limits (w);
     }
 }
 
+/* Draws the routes of the first configuration. */
 static void
-draw_first (void)
+randomize_all (void)
 {
-  for (guint i = 0; i < PLACES; i++)
+  for (guint i = 0; i < ROUTES; i++)
     {
-      Way *w = &next.ways[i];
+      RouteSettings *w = &next_entry.routes[i];
 
-      w->there = i < FIXED || one_in (2);
-      draw_pools (i, w);
-      draw_bounds (w);
+      w->present = i < FIXED_ROUTES || one_in (2);
+      randomize_pools (i, w);
+      randomize_limits (w);
     }
 }
 
 /* ---- writing ---- */
 
+/* Appends the pools of W: "service" for one, "backends" with weights for two.
+ */
 static void
-append_backends (GString *s, const Way *w)
+append_backends (GString *s, const RouteSettings *w)
 {
   guint used = 0;
 
@@ -193,23 +208,25 @@
   g_string_append_c (s, ']');
 }
 
+/* Appends a route as a JSON member, unless it is absent. */
 static void
-append_place (GString *s, guint place, const Way *w)
+append_route (GString *s, guint route, const RouteSettings *w)
 {
-  if (!w->there)
+  if (!w->present)
     return;
   g_string_append_printf (
       s,
       "\"p%u\":{\"host\":\"%s\",\"prefix\":\"%s\",\"kind\":\"%s\","
       "\"timeoutMs\":%u,\"targetLatencyMs\":%u,\"maxAttempts\":%u,"
       "\"priority\":%u,",
-      place, host_of (place), prefix_of (place),
-      place < FIXED ? fixed[place].kind : "safe", w->timeout, w->target,
-      w->attempts, w->priority);
+      route, host_of (route), prefix_of (route),
+      route < FIXED_ROUTES ? fixed_routes[route].kind : "safe", w->timeout,
+      w->target, w->attempts, w->priority);
   append_backends (s, w);
   g_string_append (s, "},");
 }
 
+/* Appends the BLOCK_ROUTES routes of a block. */
 static void
 append_block (GString *s, guint block)
 {
@@ -222,8 +239,9 @@
         block, i, hosts[block % HOSTS], block, i, pools[block % POOL_KEYS]);
 }
 
+/* Returns the configuration of E as JSON, with random limits. */
 static char *
-text_of (const Entry *e)
+to_json (const Entry *e)
 {
   GString *s = g_string_new (NULL);
 
@@ -235,10 +253,11 @@
                           "\"limits\":{\"maxHeaderBytes\":%u,"
                           "\"maxBodyBytes\":%u,\"idleTimeoutMs\":%u},"
                           "\"routes\":{",
-                          e->version, between (8000, 64000),
-                          between (1000, 1000000), between (8000, 60000));
-  for (guint i = 0; i < PLACES; i++)
-    append_place (s, i, &e->ways[i]);
+                          e->version, random_between (8000, 64000),
+                          random_between (1000, 1000000),
+                          random_between (8000, 60000));
+  for (guint i = 0; i < ROUTES; i++)
+    append_route (s, i, &e->routes[i]);
   for (guint i = 0; i < BLOCKS; i++)
     if (e->blocks & 1U << i)
       append_block (s, i);
@@ -247,36 +266,40 @@
   return g_string_free (s, FALSE);
 }
 
+/* Writes TEXT to the store and keeps E with the time of the write. */
 static void
-put (const Entry *e, const char *text)
+write_entry (const Entry *e, const char *text)
 {
   g_array_append_val (entries, *e);
   soak_table_put ("op", "config", text);
   g_array_index (entries, Entry, entries->len - 1).written = cc_clock_now ();
 }
 
+/* Writes the next configuration, with a version that is higher by 1 to 4. */
 static void
-write_proper (void)
+write_applicable (void)
 {
   g_autofree char *text = NULL;
 
-  next.kind = ENTRY_PROPER;
-  next.version += between (1, 4);
-  text = text_of (&next);
-  put (&next, text);
-  soak_audit_log ("configuration %08x: %" G_GSIZE_FORMAT " bytes", next.version,
-                  strlen (text));
+  next_entry.kind = ENTRY_APPLICABLE;
+  next_entry.version += random_between (1, 4);
+  text = to_json (&next_entry);
+  write_entry (&next_entry, text);
+  soak_audit_log ("configuration %08x: %" G_GSIZE_FORMAT " bytes",
+                  next_entry.version, strlen (text));
 }
 
+/* Replaces an invalid row by the next configuration. */
 static gboolean
-on_stray_over (gpointer unused)
+on_invalid_over (gpointer unused)
 {
   (void) unused;
-  stray = 0;
-  write_proper ();
+  invalid_timer = 0;
+  write_applicable ();
   return G_SOURCE_REMOVE;
 }
 
+/* Writes a row that is not a valid configuration. */
 static void
 write_unreadable (void)
 {
@@ -284,14 +307,15 @@
                                        "{\"version\":\"x\",\"routes\":{}}" };
   Entry e = { .kind = ENTRY_UNREADABLE };
 
-  soak_audit_log ("a configuration that can't be read");
-  put (&e, texts[between (0, G_N_ELEMENTS (texts) - 1)]);
+  soak_audit_log ("unreadable configuration");
+  write_entry (&e, texts[random_between (0, G_N_ELEMENTS (texts) - 1)]);
 }
 
+/* Writes a random earlier entry again, or an unreadable row if that was one. */
 static void
-write_older (void)
+write_stale (void)
 {
-  Entry e = *entry (between (0, entries->len - 1));
+  Entry e = *entry (random_between (0, entries->len - 1));
   g_autofree char *text = NULL;
 
   if (e.kind == ENTRY_UNREADABLE)
@@ -299,73 +323,79 @@
       write_unreadable ();
       return;
     }
-  e.kind = ENTRY_OLDER;
-  text = text_of (&e);
-  soak_audit_log ("configuration %08x, which is older", e.version);
-  put (&e, text);
+  e.kind = ENTRY_STALE;
+  text = to_json (&e);
+  soak_audit_log ("configuration %08x, an older version", e.version);
+  write_entry (&e, text);
 }
 
-/* Writes the first configuration that SEED draws. */
+/* Writes the first configuration of the series drawn from SEED. */
 void
 soak_config_begin (guint seed)
 {
-  draw = g_rand_new_with_seed (seed);
+  random_source = g_rand_new_with_seed (seed);
   entries = g_array_new (FALSE, FALSE, sizeof (Entry));
-  next.version = between (0, 0xffffff);
-  draw_first ();
-  write_proper ();
+  next_entry.version = random_between (0, 0xffffff);
+  randomize_all ();
+  write_applicable ();
 }
 
-/* Writes the next one, or a row that is none. */
+/* Writes the next configuration, or a row that gateways must ignore.  Does
+ * nothing while such a row is in place. */
 void
 soak_config_change (void)
 {
   const Entry *last = entry (entries->len - 1);
 
-  if (stray != 0)
+  if (invalid_timer != 0)
     return;
-  if (cc_clock_now () - last->written > STRAY_AFTER && one_in (2))
+  if (cc_clock_now () - last->written > INVALID_AFTER && one_in (2))
     {
-      (one_in (2) ? write_older : write_unreadable) ();
-      stray = g_timeout_add (between (STRAY_LEAST_MS, STRAY_MOST_MS),
-                             on_stray_over, NULL);
+      (one_in (2) ? write_stale : write_unreadable) ();
+      invalid_timer =
+          g_timeout_add (random_between (INVALID_MIN_MS, INVALID_MAX_MS),
+                         on_invalid_over, NULL);
       return;
     }
-  for (guint n = between (1, 6); n > 0; n--)
-    change_place ();
+  for (guint n = random_between (1, 6); n > 0; n--)
+    change_route ();
   if (one_in (5))
-    next.blocks ^= 1U << between (0, BLOCKS - 1);
-  write_proper ();
+    next_entry.blocks ^= 1U << random_between (0, BLOCKS - 1);
+  write_applicable ();
 }
 
-/* ---- asking ---- */
+/* ---- queries ---- */
 
-/* Entries so far; the newest is the last. */
+/* Returns the number of entries so far; the newest is the last. */
 guint
 soak_config_count (void)
 {
   return entries->len;
 }
 
+/* Returns the version of entry I. */
 guint
 soak_config_version (guint i)
 {
   return entry (i)->version;
 }
 
+/* Returns when entry I was written, us. */
 gint64
 soak_config_written (guint i)
 {
   return entry (i)->written;
 }
 
+/* Whether gateways must apply entry I, as it is readable and newer than all
+ * before. */
 gboolean
 soak_config_is_applicable (guint i)
 {
-  return entry (i)->kind == ENTRY_PROPER;
+  return entry (i)->kind == ENTRY_APPLICABLE;
 }
 
-/* The first entry with VERSION; G_MAXUINT: none. */
+/* Returns the first entry with VERSION, or G_MAXUINT. */
 guint
 soak_config_find (guint version)
 {
@@ -375,8 +405,10 @@
   return G_MAXUINT;
 }
 
+/* Finds the route for HOST and PATH among the blocks of E. */
 static gboolean
-match_block (const Entry *e, const char *host, const char *path, Way *out)
+match_block (const Entry *e, const char *host, const char *path,
+             RouteSettings *out)
 {
   guint block, route;
   int end = 0;
@@ -385,14 +417,15 @@
       block >= BLOCKS || route >= BLOCK_ROUTES || !(e->blocks & 1U << block) ||
       !g_str_equal (host, hosts[block % HOSTS]))
     return FALSE;
-  *out = (Way){ .there = TRUE, .timeout = 1200 };
+  *out = (RouteSettings){ .present = TRUE, .timeout = 1200 };
   out->weights[block % POOL_KEYS] = 1;
   return TRUE;
 }
 
-/* The route of entry I for HOST (lower case, without port) and PATH. */
+/* Finds the route of entry I with the longest prefix that matches HOST (lower
+ * case, without port) and PATH.  Returns FALSE if there is none. */
 static gboolean
-match (guint i, const char *host, const char *path, Way *out)
+match_route (guint i, const char *host, const char *path, RouteSettings *out)
 {
   const Entry *e = entry (i);
   gsize longest = 0;
@@ -401,33 +434,34 @@
     return FALSE;
   if (match_block (e, host, path, out))
     return TRUE;
-  for (guint p = 0; p < PLACES; p++)
+  for (guint p = 0; p < ROUTES; p++)
     {
       gsize length = strlen (prefix_of (p));
 
-      if (!e->ways[p].there || length <= longest ||
+      if (!e->routes[p].present || length <= longest ||
           !g_str_equal (host_of (p), host) ||
           !g_str_has_prefix (path, prefix_of (p)))
         continue;
       longest = length;
-      *out = e->ways[p];
+      *out = e->routes[p];
     }
   return longest > 0;
 }
 
-/* What the entries from LOW to the newest allow for HOST and PATH. */
+/* Sets OUT to what the entries from OLDEST to the newest allow for HOST and
+ * PATH. */
 void
-soak_config_query (guint low, const char *host, const char *path,
+soak_config_query (guint oldest, const char *host, const char *path,
                    SoakAllowed *out)
 {
   *out = (SoakAllowed){ .always = TRUE };
-  for (guint i = low; i < entries->len; i++)
+  for (guint i = oldest; i < entries->len; i++)
     {
-      Way w;
+      RouteSettings w;
 
       if (entry (i)->kind == ENTRY_UNREADABLE)
         continue;
-      if (!match (i, host, path, &w))
+      if (!match_route (i, host, path, &w))
         {
           out->always = FALSE;
           continue;
@@ -438,6 +472,7 @@
     }
 }
 
+/* Whether the bit set POOLS_ALLOWED has POOL. */
 static gboolean
 allows (guint pools_allowed, const char *pool)
 {
@@ -447,23 +482,23 @@
   return FALSE;
 }
 
-/* Whether A names POOL. */
+/* Whether A allows POOL. */
 gboolean
 soak_config_allows (const SoakAllowed *a, const char *pool)
 {
   return allows (a->pools, pool);
 }
 
-/* The first entry from LOW on by which HOST and PATH go to POOL (NULL: have no
- * route); LOW if there is none. */
+/* Returns the first entry from OLDEST on that routes HOST and PATH to POOL
+ * (NULL: that has no route for them), or OLDEST if there is none. */
 guint
-soak_config_first_match (guint low, const char *host, const char *path,
+soak_config_first_match (guint oldest, const char *host, const char *path,
                          const char *pool)
 {
-  for (guint i = low; i < entries->len; i++)
+  for (guint i = oldest; i < entries->len; i++)
     {
-      Way w = { 0 };
-      gboolean found = match (i, host, path, &w);
+      RouteSettings w = { 0 };
+      gboolean found = match_route (i, host, path, &w);
       guint set = 0;
 
       for (guint p = 0; p < POOLS; p++)
@@ -472,22 +507,24 @@
           (pool == NULL ? !found : found && allows (set, pool)))
         return i;
     }
-  return low;
+  return oldest;
 }
 
-/* A host and the beginning of a path that some configuration may allow. */
+/* Draws a host and the beginning of a path that some configurations may allow.
+ * PATH is owned by the caller. */
 void
 soak_config_draw_target (const char **host, char **path)
 {
-  static const char *const others[] = { "/n0",    "/n0/a", "/n00/",
-                                        "/none/", "/m0/",  "/n0/A/" };
+  static const char *const near_misses[] = { "/n0",    "/n0/a", "/n00/",
+                                             "/none/", "/m0/",  "/n0/A/" };
   guint block = (guint) g_random_int_range (0, BLOCKS);
 
   *host = hosts[g_random_int_range (0, HOSTS)];
   switch (g_random_int_range (0, 8))
     {
     case 0:
-      *path = g_strdup (others[g_random_int_range (0, G_N_ELEMENTS (others))]);
+      *path = g_strdup (
+          near_misses[g_random_int_range (0, G_N_ELEMENTS (near_misses))]);
       break;
     case 1:
     case 2:
--- a/test/soak_probe.c
+++ b/test/soak_probe.c
@@ -1,21 +1,21 @@
-/* Whether requests are handled by a configuration that may be in force: sent to
- * a pool that one allows, refused for want of a route by one that has none, and
- * ended by their route's timeout.  The target that a server sees must be the
- * one that the caller wrote. */
+/* Checks that each request is handled by a configuration that may be in force:
+ * sent to a pool that one of these allows, rejected with 404 only if one of
+ * them has no route for it, and ended by the timeout of its route.  The request
+ * target must reach the server unchanged. */
 #include <string.h>
 
 #include "capercrank.h"
 #include "clock.h"
 #include "soak.h"
 
-/* Answers that come later than this after their route's timeout are late. */
+/* A response counts as late if it exceeds the timeout of its route by more. */
 #define LATE_AFTER (500 * CC_MS)
-#define LATE_ALLOWED 8
+#define LATE_RESPONSES_MAX 8
 
 typedef struct
 {
   guint gateway, run;
-  guint low; /* the oldest configuration that may be in force */
+  guint oldest; /* oldest configuration entry that may be in force */
   gint64 sent;
   char *host;   /* in lower case, without port */
   char *target; /* path and query */
@@ -23,8 +23,9 @@
 } Probe;
 
 static GHashTable *probes; /* id to Probe */
-static guint ended_late, past_timeout;
+static guint late_responses, timed_out_responses;
 
+/* Frees a Probe. */
 static void
 probe_free (gpointer data)
 {
@@ -36,7 +37,8 @@
   g_free (p);
 }
 
-/* A caller sends the request ID for HOST and TARGET to GATEWAY. */
+/* Records that a caller sends the request ID for HOST (lower case, without
+ * port) and TARGET to GATEWAY, with the oldest configuration allowed then. */
 void
 soak_probe_sent (guint gateway, const char *id, const char *host,
                  const char *target)
@@ -48,7 +50,7 @@
         g_hash_table_new_full (g_str_hash, g_str_equal, g_free, probe_free);
   p->gateway = gateway;
   p->run = soak_watch_run (gateway);
-  p->low = soak_watch_oldest_entry (gateway);
+  p->oldest = soak_watch_oldest_entry (gateway);
   p->sent = cc_clock_now ();
   p->host = g_strdup (host);
   p->target = g_strdup (target);
@@ -56,23 +58,26 @@
   g_hash_table_insert (probes, g_strdup (id), p);
 }
 
-/* Asks for P; another run than the one that it was sent to may know less. */
+/* Queries what the configurations that may be in force for P allow, and returns
+ * the oldest of them: any one if the gateway has restarted since P was sent, as
+ * a new run may start from an older configuration. */
 static guint
-ask (const Probe *p, SoakAllowed *out)
+query_allowed (const Probe *p, SoakAllowed *out)
 {
-  guint low = p->run == soak_watch_run (p->gateway) ? p->low : 0;
+  guint oldest = p->run == soak_watch_run (p->gateway) ? p->oldest : 0;
 
-  soak_config_query (low, p->host, p->path, out);
-  return low;
+  soak_config_query (oldest, p->host, p->path, out);
+  return oldest;
 }
 
-/* A server of POOL runs the request ID, which came for TARGET. */
+/* Records that a server of POOL runs the request ID, received with TARGET.
+ * Checks the target and the pool. */
 void
 soak_probe_ran (const char *id, const char *pool, const char *target)
 {
   const Probe *p = probes != NULL ? g_hash_table_lookup (probes, id) : NULL;
   SoakAllowed a;
-  guint low;
+  guint oldest;
 
   if (p == NULL)
     {
@@ -81,17 +86,20 @@
     }
   if (!g_str_equal (p->target, target))
     soak_audit_fail ("request %s for %s ran as %s", id, p->target, target);
-  low = ask (p, &a);
+  oldest = query_allowed (p, &a);
   if (!soak_config_allows (&a, pool))
     soak_audit_fail ("request %s by gw%u for %s%s ran at %s, which no "
                      "configuration from %08x on allows",
                      id, p->gateway + 1, p->host, p->target, pool,
-                     soak_config_version (low));
+                     soak_config_version (oldest));
   else
-    soak_watch_applied (p->gateway, p->run,
-                        soak_config_first_match (low, p->host, p->path, pool));
+    soak_watch_applied (
+        p->gateway, p->run,
+        soak_config_first_match (oldest, p->host, p->path, pool));
 }
 
+/* Whether STATUS is an error of the request itself or its route, not of load,
+ * timeouts or ownership (408, 421, 429). */
 static gboolean
 is_refusal (guint status)
 {
@@ -99,29 +107,33 @@
          status != 429;
 }
 
+/* Counts and logs a response to P that exceeds its timeout, unless a fault of
+ * the gateway or its callers may have caused that. */
 static void
 check_time (const char *id, const Probe *p, const SoakAllowed *a, guint status)
 {
-  gint64 over = cc_clock_now () - p->sent - (gint64) a->timeout * CC_MS;
+  gint64 excess = cc_clock_now () - p->sent - (gint64) a->timeout * CC_MS;
 
-  if (a->timeout == 0 || over < 0 ||
+  if (a->timeout == 0 || excess < 0 ||
       !soak_watch_fault_free_since (p->gateway, p->sent))
     return;
-  past_timeout++;
-  if (over <= LATE_AFTER)
+  timed_out_responses++;
+  if (excess <= LATE_AFTER)
     return;
-  ended_late++;
+  late_responses++;
   soak_audit_log ("request %s by gw%u ended late with %u: %.3f s beyond %u ms",
-                  id, p->gateway + 1, status, (double) over / 1e6, a->timeout);
+                  id, p->gateway + 1, status, (double) excess / 1e6,
+                  a->timeout);
 }
 
-/* The caller of ID got STATUS; 0: no answer. */
+/* Records that the caller of ID received STATUS; 0: no response.  Checks the
+ * duration, and that a rejected request had no route. */
 void
 soak_probe_answered (const char *id, guint status)
 {
   const Probe *p = g_hash_table_lookup (probes, id);
   SoakAllowed a;
-  guint low = ask (p, &a);
+  guint oldest = query_allowed (p, &a);
 
   check_time (id, p, &a, status);
   if (!is_refusal (status))
@@ -130,18 +142,21 @@
     soak_audit_fail ("request %s by gw%u for %s%s was answered %u, and each "
                      "configuration from %08x on allows it",
                      id, p->gateway + 1, p->host, p->target, status,
-                     soak_config_version (low));
+                     soak_config_version (oldest));
   else
-    soak_watch_applied (p->gateway, p->run,
-                        soak_config_first_match (low, p->host, p->path, NULL));
+    soak_watch_applied (
+        p->gateway, p->run,
+        soak_config_first_match (oldest, p->host, p->path, NULL));
 }
 
-/* Judges what is counted over the whole run. */
+/* Reports a violation if more than LATE_RESPONSES_MAX responses, and more than
+ * a quarter of those that exceeded their timeouts, were late. */
 void
 soak_probe_summary (void)
 {
-  if (ended_late > LATE_ALLOWED && ended_late * 4 > past_timeout)
+  if (late_responses > LATE_RESPONSES_MAX &&
+      late_responses * 4 > timed_out_responses)
     soak_audit_fail ("%u of %u requests that outlasted their route's timeout "
                      "ended over half a second after it",
-                     ended_late, past_timeout);
+                     late_responses, timed_out_responses);
 }
