--- a/test/soak_audit.c
+++ b/test/soak_audit.c
@@ -190,7 +190,8 @@
     }
 }
 
-/* Described in soak.h. */
+/* Returns and resets the counts of requests sent and of requests answered with
+ * status 200. */
 void
 soak_audit_take_served (guint *asked, guint *served)
 {
@@ -271,7 +272,8 @@
   return TRUE;
 }
 
-/* Described in soak.h.  Several violations in one grant count as one in
+/* Records a grant of the keys FROM to TO and checks that no other incarnation
+ * holds one of them.  Several violations in one grant count as one in
  * owner_faults. */
 void
 soak_audit_granted (guint from, guint to, const char *incarnation,
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -1,6 +1,8 @@
-/* A server by the platform's published protocol: a few slots and a short queue,
- * keys that it runs requests for only while they are granted to it, an entry in
- * the store that it renews while it lives. */
+/* Simulates a server that speaks the platform's published protocol: it has a
+ * few slots and a short queue, runs requests for a key only while that is
+ * granted to it, and renews its row in the store while it runs.  Its modes
+ * inject faults of real servers: slow work, lost or mixed-up responses, late
+ * grants. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,14 +12,14 @@
 #include "soak.h"
 
 #define SLOTS 4
-#define QUEUE 8
+#define QUEUE_MAX 8
 #define HEARTBEAT_MS 600
-#define WORK_LEAST_MS 10
-#define WORK_MOST_MS 60
+#define WORK_MIN_MS 10
+#define WORK_MAX_MS 60
 #define SLOW_FACTOR 5
-#define LATE_LEAST_MS 800
-#define LATE_MOST_MS 4000
-/* A server that leaves serves on for this long. */
+#define LATE_GRANT_MIN_MS 800
+#define LATE_GRANT_MAX_MS 4000
+/* Time for which a draining server goes on serving. */
 #define DRAIN_MS 2300
 
 typedef struct
@@ -27,10 +29,10 @@
   char *id;
   gint32 key; /* -1: none */
   gint64 deadline;
-  guint source; /* of the end of its work; 0: waits for a slot */
+  guint source; /* timer for the end of its work; 0: waits for a slot */
 } Job;
 
-/* A release that waits for work to end. */
+/* A release of keys that waits for the work on them to end. */
 typedef struct
 {
   SoupServerMessage *message;
@@ -42,36 +44,38 @@
   char *pool;
   gboolean keyed;
   char *zone;
-  char *real;  /* where it listens */
-  char *front; /* where others find it */
+  char *real;  /* address that it listens on */
+  char *front; /* address for gateways, at the relay */
   guint index;
   SoupServer *http; /* NULL: down */
   char *id;
-  char *life; /* ID and start, for the audit */
-  gint64 born;
-  guint lives;
-  guint beats;
+  char *incarnation;     /* "ID.START", for the audit */
+  gint64 started_at_ms;  /* ms of the wall clock */
+  guint starts;          /* number of starts */
+  guint heartbeats_sent; /* number of rows written */
   gboolean draining;
   SoakServerMode mode;
-  guint heartbeat, leaving; /* sources */
-  GPtrArray *jobs;          /* of Job, in order */
-  GPtrArray *releases;      /* of Release */
-  gint64 until[SOAK_KEYS];  /* its grants, us */
-  guint64 fence[SOAK_KEYS]; /* the highest that it saw */
+  guint heartbeat_timer, exit_timer; /* sources */
+  GPtrArray *jobs;                   /* of Job, in order of arrival */
+  GPtrArray *releases;               /* of Release */
+  gint64 until[SOAK_KEYS];           /* end of the grant of each key, us */
+  guint64 fence[SOAK_KEYS];          /* highest fence received for each key */
 };
 
-static void (*tell_ran) (const char *id, const char *pool, const char *target);
+static void (*on_run) (const char *id, const char *pool, const char *target);
 
-static void serve_next (SoakServer *s);
+static void run_queued (SoakServer *s);
 
+/* Sets the function that is called when a server starts to run a request. */
 void
 soak_servers_set_run_callback (void (*ran) (const char *id, const char *pool,
                                             const char *target))
 {
-  tell_ran = ran;
+  on_run = ran;
 }
 
-/* A server of POOL that is down. */
+/* Returns a server of POOL that is not started.  It owns keys if KEYED, listens
+ * on REAL and announces the address FRONT. */
 SoakServer *
 soak_server_new (const char *pool, gboolean keyed, const char *zone,
                  const char *real, const char *front, guint index)
@@ -89,16 +93,17 @@
   return s;
 }
 
+/* Writes the row of S to the store: its address, state and capacity. */
 static void
-report (SoakServer *s)
+write_server_row (SoakServer *s)
 {
   g_autofree char *value = g_strdup_printf (
       "{\"address\":\"%s\",\"born\":%" G_GINT64_FORMAT
       ",\"info\":{\"service\":\"%s\",\"zone\":\"%s\",\"slots\":%d,"
       "\"version\":\"1\"},\"status\":{\"state\":\"%s\",\"sequence\":%u,"
       "\"warmupLeftMs\":0}}",
-      s->front, s->born, s->pool, s->zone, SLOTS,
-      s->draining ? "draining" : "ready", s->beats++);
+      s->front, s->started_at_ms, s->pool, s->zone, SLOTS,
+      s->draining ? "draining" : "ready", s->heartbeats_sent++);
 
   soak_table_put ("servers", s->id, value);
 }
@@ -106,7 +111,7 @@
 static gboolean
 on_heartbeat (gpointer data)
 {
-  report (data);
+  write_server_row (data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -116,8 +121,9 @@
   return j->source != 0;
 }
 
+/* Returns the number of jobs that run. */
 static guint
-running (const SoakServer *s)
+running_count (const SoakServer *s)
 {
   guint n = 0;
 
@@ -126,14 +132,16 @@
   return n;
 }
 
+/* Responds to M with the headers of the protocol: the request's id, the load of
+ * S and its signature. */
 static void
-answer (SoakServer *s, SoupServerMessage *m, guint status, const char *body)
+respond (SoakServer *s, SoupServerMessage *m, guint status, const char *body)
 {
   SoupMessageHeaders *h = soup_server_message_get_response_headers (m);
   const char *id = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), "X-Request-Id");
-  g_autofree char *load = g_strdup_printf ("%u,%u,%d", running (s),
-                                           s->jobs->len - running (s), SLOTS);
+  g_autofree char *load = g_strdup_printf (
+      "%u,%u,%d", running_count (s), s->jobs->len - running_count (s), SLOTS);
 
   if (id != NULL)
     soup_message_headers_replace (h, "X-Request-Id", id);
@@ -142,17 +150,18 @@
   cc_http_answer (m, status, "text/plain", body);
 }
 
+/* Rejects M, marked as not executed. */
 static void
 refuse (SoakServer *s, SoupServerMessage *m, guint status)
 {
   soup_message_headers_replace (soup_server_message_get_response_headers (m),
                                 "X-Not-Executed", "1");
-  answer (s, m, status, "");
+  respond (s, m, status, "");
 }
 
-/* The caller of M sees its connection end without an answer. */
+/* Closes the connection of M without a response. */
 static void
-cut_off (SoupServerMessage *m)
+close_connection (SoupServerMessage *m)
 {
   g_socket_shutdown (soup_server_message_get_socket (m), TRUE, TRUE, NULL);
   cc_http_answer (m, 500, "text/plain", "");
@@ -167,8 +176,9 @@
   g_free (j);
 }
 
+/* Whether a job for a key from FROM to TO runs. */
 static gboolean
-has_work (const SoakServer *s, guint from, guint to)
+has_running_work (const SoakServer *s, guint from, guint to)
 {
   for (guint i = 0; i < s->jobs->len; i++)
     {
@@ -180,14 +190,15 @@
   return FALSE;
 }
 
+/* Responds to each release whose keys have no running work left. */
 static void
-end_releases (SoakServer *s)
+finish_releases (SoakServer *s)
 {
   for (guint i = s->releases->len; i-- > 0;)
     {
       Release *r = s->releases->pdata[i];
 
-      if (has_work (s, r->from, r->to))
+      if (has_running_work (s, r->from, r->to))
         continue;
       soup_message_headers_replace (
           soup_server_message_get_response_headers (r->message), "X-Handoff",
@@ -200,10 +211,10 @@
     }
 }
 
-/* The answer to J, which has run, as the server's mode spoils it.  FALSE: it
- * does not. */
+/* In the modes that spoil responses, gives half of the jobs that ran no
+ * response or that of another request.  Returns FALSE if J must get its own. */
 static gboolean
-spoil (Job *j)
+respond_wrongly (Job *j)
 {
   SoakServer *s = j->server;
 
@@ -213,93 +224,101 @@
     return FALSE;
   if (s->mode == SOAK_SERVER_DROPS_RESPONSES)
     {
-      cut_off (j->message);
+      close_connection (j->message);
       return TRUE;
     }
-  answer (s, j->message, 200, "done another");
+  respond (s, j->message, 200, "done another");
   soup_message_headers_replace (
       soup_server_message_get_response_headers (j->message), "X-Request-Id",
       "another");
   return TRUE;
 }
 
+/* Responds to a job whose work is done, with status 500 if the grant of its key
+ * has expired meanwhile, and runs the next ones. */
 static gboolean
 on_work_done (gpointer data)
 {
   Job *j = data;
   SoakServer *s = j->server;
   g_autofree char *body = g_strconcat ("done ", j->id, NULL);
-  gboolean lapsed = s->keyed && s->until[j->key] <= cc_clock_now ();
+  gboolean expired = s->keyed && s->until[j->key] <= cc_clock_now ();
 
-  if (!spoil (j))
-    answer (s, j->message, lapsed ? 500 : 200, lapsed ? "" : body);
+  if (!respond_wrongly (j))
+    respond (s, j->message, expired ? 500 : 200, expired ? "" : body);
   soup_server_message_unpause (j->message);
   job_free (j);
-  end_releases (s);
-  serve_next (s);
+  finish_releases (s);
+  run_queued (s);
   return G_SOURCE_REMOVE;
 }
 
+/* Whether S may run requests for KEY now. */
 static gboolean
-holds (const SoakServer *s, gint32 key)
+may_run (const SoakServer *s, gint32 key)
 {
   return !s->keyed || (key >= 0 && s->until[key] > cc_clock_now ());
 }
 
+/* Starts to run J and reports that to the checks. */
 static void
-start (SoakServer *s, Job *j)
+start_work (SoakServer *s, Job *j)
 {
-  guint work = (guint) g_random_int_range (WORK_LEAST_MS, WORK_MOST_MS);
+  guint work_ms = (guint) g_random_int_range (WORK_MIN_MS, WORK_MAX_MS);
 
   g_autofree char *target = cc_http_target (j->message);
 
-  soak_audit_started (j->id, s->pool, s->life);
-  if (tell_ran != NULL)
-    tell_ran (j->id, s->pool, target);
+  soak_audit_started (j->id, s->pool, s->incarnation);
+  if (on_run != NULL)
+    on_run (j->id, s->pool, target);
   if (s->mode == SOAK_SERVER_SLOW)
-    work *= SLOW_FACTOR;
-  j->source = g_timeout_add (work, on_work_done, j);
+    work_ms *= SLOW_FACTOR;
+  j->source = g_timeout_add (work_ms, on_work_done, j);
 }
 
+/* Starts queued jobs while slots are free.  Rejects those whose key has been
+ * released (421) or whose deadline is over (503). */
 static void
-serve_next (SoakServer *s)
+run_queued (SoakServer *s)
 {
-  for (guint i = 0; i < s->jobs->len && running (s) < SLOTS; i++)
+  for (guint i = 0; i < s->jobs->len && running_count (s) < SLOTS; i++)
     {
       Job *j = s->jobs->pdata[i];
 
       if (is_running (j))
         continue;
-      if (holds (s, j->key) && cc_clock_now () < j->deadline)
+      if (may_run (s, j->key) && cc_clock_now () < j->deadline)
         {
-          start (s, j);
+          start_work (s, j);
           continue;
         }
-      refuse (s, j->message, holds (s, j->key) ? 503 : 421);
+      refuse (s, j->message, may_run (s, j->key) ? 503 : 421);
       soup_server_message_unpause (j->message);
       job_free (j);
       i--;
     }
 }
 
+/* Queues a request, or rejects it if it is malformed (400), for a key that is
+ * not granted (421), or if the queue is full (503). */
 static void
 on_request (SoakServer *s, SoupServerMessage *m)
 {
   SoupMessageHeaders *h = soup_server_message_get_request_headers (m);
   const char *id = soup_message_headers_get_one (h, "X-Request-Id");
   const char *key = soup_message_headers_get_one (h, "X-Shard-Key");
-  const char *left = soup_message_headers_get_one (h, "X-Deadline-Ms");
+  const char *time_left = soup_message_headers_get_one (h, "X-Deadline-Ms");
   gint32 number = key != NULL ? atoi (key) : -1;
   Job *j;
 
-  if (id == NULL || left == NULL)
+  if (id == NULL || time_left == NULL)
     {
       refuse (s, m, 400);
       return;
     }
-  if (!holds (s, number) || s->jobs->len >= SLOTS + QUEUE)
+  if (!may_run (s, number) || s->jobs->len >= SLOTS + QUEUE_MAX)
     {
-      refuse (s, m, holds (s, number) ? 503 : 421);
+      refuse (s, m, may_run (s, number) ? 503 : 421);
       return;
     }
   j = g_new0 (Job, 1);
@@ -307,22 +326,23 @@
   j->message = g_object_ref (m);
   j->id = g_strdup (id);
   j->key = number;
-  j->deadline = cc_clock_now () + (gint64) atoi (left) * CC_MS;
+  j->deadline = cc_clock_now () + (gint64) atoi (time_left) * CC_MS;
   g_ptr_array_add (s->jobs, j);
   soup_server_message_pause (m);
-  serve_next (s);
+  run_queued (s);
 }
 
-/* A call of the one who grants keys. */
+/* A request of the granter, to grant or to release keys. */
 typedef struct
 {
   SoakServer *server;
-  char *life; /* of the server when the call came */
+  char *incarnation; /* incarnation of the server when the request came */
   guint from, to;
   guint64 fence;
   gint64 until; /* us */
 } Grant;
 
+/* Parses the body of a grant or release. */
 static Grant *
 read_grant (SoakServer *s, SoupServerMessage *m)
 {
@@ -335,7 +355,7 @@
   Grant *g = g_new0 (Grant, 1);
 
   g->server = s;
-  g->life = g_strdup (s->life);
+  g->incarnation = g_strdup (s->incarnation);
   g->from = (guint) json_object_get_int_member (o, "from");
   g->to = (guint) json_object_get_int_member (o, "target");
   g->fence = (guint64) json_object_get_int_member (o, "fence");
@@ -347,13 +367,14 @@
 static void
 grant_free (Grant *g)
 {
-  g_free (g->life);
+  g_free (g->incarnation);
   g_free (g);
 }
 
-/* Carries G out.  FALSE: a higher fence was seen. */
+/* Applies G.  Returns FALSE if a higher fence was received for one of its
+ * keys. */
 static gboolean
-take_grant (const Grant *g)
+apply_grant (const Grant *g)
 {
   SoakServer *s = g->server;
 
@@ -366,21 +387,25 @@
       s->until[k] = MAX (s->until[k], g->until);
     }
   if (g->until > cc_clock_now ())
-    soak_audit_granted (g->from, g->to, s->life, g->fence, g->until);
+    soak_audit_granted (g->from, g->to, s->incarnation, g->fence, g->until);
   return TRUE;
 }
 
+/* Applies a delayed grant unless the server has exited since. */
 static gboolean
 on_late_grant (gpointer data)
 {
   Grant *g = data;
 
-  if (g->server->http != NULL && g_str_equal (g->life, g->server->life))
-    (void) take_grant (g);
+  if (g->server->http != NULL &&
+      g_str_equal (g->incarnation, g->server->incarnation))
+    (void) apply_grant (g);
   grant_free (g);
   return G_SOURCE_REMOVE;
 }
 
+/* Handles a grant.  In the mode for late grants, half of them are applied later
+ * and get no response. */
 static void
 on_grant (SoakServer *s, SoupServerMessage *m)
 {
@@ -388,15 +413,18 @@
 
   if (s->mode == SOAK_SERVER_LATE_GRANTS && g_random_boolean ())
     {
-      g_timeout_add ((guint) g_random_int_range (LATE_LEAST_MS, LATE_MOST_MS),
-                     on_late_grant, g);
-      soup_server_message_pause (m); /* for good */
+      g_timeout_add (
+          (guint) g_random_int_range (LATE_GRANT_MIN_MS, LATE_GRANT_MAX_MS),
+          on_late_grant, g);
+      soup_server_message_pause (m); /* never resumed */
       return;
     }
-  cc_http_answer (m, take_grant (g) ? 200 : 409, "application/json", "{}");
+  cc_http_answer (m, apply_grant (g) ? 200 : 409, "application/json", "{}");
   grant_free (g);
 }
 
+/* Handles a release: ends the grants at once, and responds when the running
+ * work for the keys is done. */
 static void
 on_release (SoakServer *s, SoupServerMessage *m)
 {
@@ -405,29 +433,30 @@
 
   for (guint k = g->from; k <= g->to; k++)
     s->until[k] = 0;
-  soak_audit_released (g->from, g->to, s->life);
+  soak_audit_released (g->from, g->to, s->incarnation);
   r->message = g_object_ref (m);
   r->from = g->from;
   r->to = g->to;
   g_ptr_array_add (s->releases, r);
   soup_server_message_pause (m);
-  end_releases (s);
+  finish_releases (s);
   grant_free (g);
 }
 
+/* Dispatches a request.  One meant for another instance gets status 421. */
 static void
-on_call (SoupServer *server, SoupServerMessage *m, const char *path,
-         GHashTable *query, gpointer data)
+on_http_request (SoupServer *server, SoupServerMessage *m, const char *path,
+                 GHashTable *query, gpointer data)
 {
   SoakServer *s = data;
-  const char *meant = soup_message_headers_get_one (
+  const char *target_instance = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), "X-Target-Instance");
 
   (void) server, (void) query;
-  /* A connection of the life before. */
+  /* The connection was opened to the previous incarnation. */
   if (s->http != server)
-    cut_off (m);
-  else if (meant != NULL && !g_str_equal (meant, s->id))
+    close_connection (m);
+  else if (target_instance != NULL && !g_str_equal (target_instance, s->id))
     refuse (s, m, 421);
   else if (g_str_equal (path, "/v1/grant"))
     on_grant (s, m);
@@ -437,7 +466,8 @@
     on_request (s, m);
 }
 
-/* Starts S, under the id of before if SAME_ID.  It knows nothing of before. */
+/* Starts S unless it runs, with its previous id if SAME_ID.  It has no state
+ * from before: neither grants nor fences. */
 void
 soak_server_start (SoakServer *s, gboolean same_id)
 {
@@ -445,41 +475,43 @@
 
   if (s->http != NULL)
     return;
-  s->lives++;
-  s->born = cc_clock_wall () / CC_MS;
+  s->starts++;
+  s->started_at_ms = cc_clock_wall () / CC_MS;
   if (s->id == NULL || !same_id)
     {
       g_free (s->id);
-      s->id = g_strdup_printf ("s%u-%u", s->index, s->lives);
+      s->id = g_strdup_printf ("s%u-%u", s->index, s->starts);
     }
-  g_free (s->life);
-  s->life = g_strdup_printf ("%s.%u", s->id, s->lives);
+  g_free (s->incarnation);
+  s->incarnation = g_strdup_printf ("%s.%u", s->id, s->starts);
   s->mode = SOAK_SERVER_HEALTHY;
   s->draining = FALSE;
   memset (s->until, 0, sizeof s->until);
   memset (s->fence, 0, sizeof s->fence);
   s->http = cc_http_server_new ();
-  soup_server_add_handler (s->http, NULL, on_call, s, NULL);
+  soup_server_add_handler (s->http, NULL, on_http_request, s, NULL);
   if (!cc_http_listen (s->http, s->real, &message))
     g_error ("soak: %s", message);
-  report (s);
-  s->heartbeat = g_timeout_add (HEARTBEAT_MS, on_heartbeat, s);
+  write_server_row (s);
+  s->heartbeat_timer = g_timeout_add (HEARTBEAT_MS, on_heartbeat, s);
 }
 
+/* Closes the connections of S with all its jobs and releases, and ends its
+ * incarnation. */
 static void
-stop (SoakServer *s)
+shut_down (SoakServer *s)
 {
-  g_source_remove (s->heartbeat);
-  if (s->leaving != 0)
-    g_source_remove (s->leaving);
-  s->heartbeat = s->leaving = 0;
+  g_source_remove (s->heartbeat_timer);
+  if (s->exit_timer != 0)
+    g_source_remove (s->exit_timer);
+  s->heartbeat_timer = s->exit_timer = 0;
   while (s->jobs->len > 0)
     {
       Job *j = s->jobs->pdata[0];
 
       if (is_running (j))
         g_source_remove (j->source);
-      cut_off (j->message);
+      close_connection (j->message);
       soup_server_message_unpause (j->message);
       job_free (j);
     }
@@ -487,27 +519,28 @@
     {
       Release *r = g_ptr_array_remove_index (s->releases, 0);
 
-      cut_off (r->message);
+      close_connection (r->message);
       soup_server_message_unpause (r->message);
       g_object_unref (r->message);
       g_free (r);
     }
   soup_server_disconnect (s->http);
   g_clear_object (&s->http);
-  soak_audit_server_exited (s->life);
+  soak_audit_server_exited (s->incarnation);
 }
 
-/* An entry that nobody renews any more. */
+/* A row in the store that is not renewed any more. */
 typedef struct
 {
   SoakServer *server;
   char *id;
-} Lapse;
+} StaleRow;
 
+/* Deletes a row unless the server runs again with the same id. */
 static gboolean
-on_lapsed (gpointer data)
+on_row_expired (gpointer data)
 {
-  Lapse *l = data;
+  StaleRow *l = data;
 
   if (l->server->http == NULL || !g_str_equal (l->server->id, l->id))
     soak_table_delete ("servers", l->id);
@@ -516,48 +549,52 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Deletes the row of S after MS unless it runs again. */
 static void
-lapse_after (SoakServer *s, guint ms)
+expire_row_after (SoakServer *s, guint ms)
 {
-  Lapse *l = g_new0 (Lapse, 1);
+  StaleRow *l = g_new0 (StaleRow, 1);
 
   l->server = s;
   l->id = g_strdup (s->id);
-  g_timeout_add (ms, on_lapsed, l);
+  g_timeout_add (ms, on_row_expired, l);
 }
 
-/* S ends without a word; its entry lapses, unless it is back before. */
+/* Terminates S without notice.  Its row expires after three heartbeats unless
+ * it is back with the same id. */
 void
 soak_server_crash (SoakServer *s)
 {
   if (s->http == NULL)
     return;
-  lapse_after (s, 3 * HEARTBEAT_MS);
-  stop (s);
+  expire_row_after (s, 3 * HEARTBEAT_MS);
+  shut_down (s);
 }
 
 static gboolean
-on_left (gpointer data)
+on_drained (gpointer data)
 {
   SoakServer *s = data;
 
-  s->leaving = 0;
-  lapse_after (s, 1);
-  stop (s);
+  s->exit_timer = 0;
+  expire_row_after (s, 1);
+  shut_down (s);
   return G_SOURCE_REMOVE;
 }
 
-/* S says that it leaves, serves on for a while, and ends. */
+/* Makes S announce that it leaves.  It goes on serving for DRAIN_MS and exits.
+ */
 void
 soak_server_drain (SoakServer *s)
 {
   if (s->http == NULL || s->draining)
     return;
   s->draining = TRUE;
-  report (s);
-  s->leaving = g_timeout_add (DRAIN_MS, on_left, s);
+  write_server_row (s);
+  s->exit_timer = g_timeout_add (DRAIN_MS, on_drained, s);
 }
 
+/* Sets the mode of S, until its next start. */
 void
 soak_server_set_mode (SoakServer *s, SoakServerMode mode)
 {
--- a/test/soak_table.c
+++ b/test/soak_table.c
@@ -1,5 +1,6 @@
-/* The platform's store by its published protocol, as far as the gateways use
- * it: rows, transactions with conditions, a feed of changes. */
+/* Simulates the platform's store, with the part of its published protocol that
+ * gateways use: rows, transactions with conditions, and a long-polled feed of
+ * changes.  Its modes inject the faults of a real store. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,40 +9,42 @@
 #include "clock.h"
 #include "soak.h"
 
-#define SLOW_MS 300
-#define LATE_LEAST_MS 800
-#define LATE_MOST_MS 3000
+#define RESPONSE_DELAY_MS 300
+#define LATE_WRITE_MIN_MS 800
+#define LATE_WRITE_MAX_MS 3000
 
 typedef struct
 {
-  char *table, *key, *value; /* VALUE in base64; NULL: dropped */
+  char *table, *key, *value; /* VALUE in base64; NULL: deleted */
   guint64 version;
 } Row;
 
-/* A feed that waits for changes. */
+/* A feed request that waits for changes after version AFTER. */
 typedef struct
 {
   SoupServerMessage *message;
   char *table;
   guint64 after;
   guint timeout;
-} Waiter;
+} FeedRequest;
 
 static GTree *rows; /* "table/key" to Row */
-static GList *waiters;
-static guint64 newest;
-static guint64 forgotten; /* changes up to this one are not known any more */
+static GList *feed_requests;
+static guint64 newest_version;
+/* The change history up to this version was dropped. */
+static guint64 truncated_version;
 static SoakTableMode mode;
 
+/* Orders the rows of the tree by "table/key". */
 static gint
-compare (gconstpointer a, gconstpointer b, gpointer unused)
+compare_keys (gconstpointer a, gconstpointer b, gpointer unused)
 {
   (void) unused;
   return strcmp (a, b);
 }
 
 static char *
-id_of (const char *table, const char *key)
+row_id (const char *table, const char *key)
 {
   return g_strconcat (table, "/", key, NULL);
 }
@@ -49,11 +52,12 @@
 static Row *
 find_row (const char *table, const char *key)
 {
-  g_autofree char *id = id_of (table, key);
+  g_autofree char *id = row_id (table, key);
 
   return g_tree_lookup (rows, id);
 }
 
+/* Sets the row KEY of TABLE to VALUE (NULL: deleted) at the newest version. */
 static void
 write_row (const char *table, const char *key, const char *value)
 {
@@ -64,23 +68,24 @@
       r = g_new0 (Row, 1);
       r->table = g_strdup (table);
       r->key = g_strdup (key);
-      g_tree_insert (rows, id_of (table, key), r);
+      g_tree_insert (rows, row_id (table, key), r);
     }
   g_free (r->value);
   r->value = g_strdup (value);
-  r->version = newest;
+  r->version = newest_version;
 }
 
-/* What the rows are selected by. */
+/* A selection of rows. */
 typedef struct
 {
   const char *table;
-  const char *from;
-  guint64 after;    /* only newer ones */
-  gboolean dropped; /* dropped ones too */
+  const char *from; /* lowest key */
+  guint64 after;    /* only newer rows */
+  gboolean deleted; /* includes deleted rows */
   JsonArray *out;
 } Selection;
 
+/* Adds a row to the JSON array of the Selection DATA if it matches. */
 static gboolean
 add_selected (gpointer id, gpointer value, gpointer data)
 {
@@ -90,7 +95,7 @@
 
   (void) id;
   if (!g_str_equal (r->table, s->table) || strcmp (r->key, s->from) < 0 ||
-      r->version <= s->after || (r->value == NULL && !s->dropped))
+      r->version <= s->after || (r->value == NULL && !s->deleted))
     return FALSE;
   o = json_object_new ();
   json_object_set_string_member (o, "table", r->table);
@@ -104,6 +109,7 @@
   return FALSE;
 }
 
+/* Responds to M with the rows that S selects. */
 static void
 answer_rows (SoupServerMessage *m, guint status, Selection *s)
 {
@@ -114,7 +120,7 @@
   s->out = json_array_new ();
   g_tree_foreach (rows, add_selected, s);
   json_object_set_array_member (o, "rows", s->out);
-  json_object_set_int_member (o, "rowVersion", (gint64) newest);
+  json_object_set_int_member (o, "rowVersion", (gint64) newest_version);
   json_object_set_int_member (o, "nowMs", cc_clock_now () / CC_MS);
   json_object_set_boolean_member (o, "hasMore", FALSE);
   json_node_take_object (root, o);
@@ -122,59 +128,63 @@
   cc_http_answer (m, status, "application/json", text);
 }
 
+/* Responds to the feed request F with the changes, if any, and frees it. */
 static void
-waiter_end (Waiter *w)
+finish_feed (FeedRequest *f)
 {
   Selection s = {
-    .table = w->table, .from = "", .after = w->after, .dropped = TRUE
+    .table = f->table, .from = "", .after = f->after, .deleted = TRUE
   };
 
-  waiters = g_list_remove (waiters, w);
-  if (w->timeout != 0)
-    g_source_remove (w->timeout);
-  answer_rows (w->message, 200, &s);
-  soup_server_message_unpause (w->message);
-  g_object_unref (w->message);
-  g_free (w->table);
-  g_free (w);
+  feed_requests = g_list_remove (feed_requests, f);
+  if (f->timeout != 0)
+    g_source_remove (f->timeout);
+  answer_rows (f->message, 200, &s);
+  soup_server_message_unpause (f->message);
+  g_object_unref (f->message);
+  g_free (f->table);
+  g_free (f);
 }
 
 static gboolean
-on_wait_over (gpointer data)
+on_feed_timeout (gpointer data)
 {
-  Waiter *w = data;
+  FeedRequest *f = data;
 
-  w->timeout = 0;
-  waiter_end (w);
+  f->timeout = 0;
+  finish_feed (f);
   return G_SOURCE_REMOVE;
 }
 
+/* Responds to all feed requests for TABLE, which has changed. */
 static void
-wake (const char *table)
+finish_feeds_of (const char *table)
 {
-  for (GList *l = waiters; l != NULL;)
+  for (GList *l = feed_requests; l != NULL;)
     {
-      Waiter *w = l->data;
+      FeedRequest *f = l->data;
 
       l = l->next;
-      if (g_str_equal (w->table, table))
-        waiter_end (w);
+      if (g_str_equal (f->table, table))
+        finish_feed (f);
     }
 }
 
 static const char *
-text_of (JsonObject *o, const char *name)
+string_member (JsonObject *o, const char *name)
 {
   return json_object_get_string_member_with_default (o, name, "");
 }
 
+/* Whether each row in LIST has the version given; 0: it must not exist. */
 static gboolean
 conditions_hold (JsonArray *list)
 {
   for (guint i = 0; i < json_array_get_length (list); i++)
     {
       JsonObject *o = json_array_get_object_element (list, i);
-      const Row *r = find_row (text_of (o, "table"), text_of (o, "key"));
+      const Row *r =
+          find_row (string_member (o, "table"), string_member (o, "key"));
       guint64 version = r != NULL && r->value != NULL ? r->version : 0;
 
       if ((gint64) version != json_object_get_int_member (o, "rowVersion"))
@@ -183,20 +193,21 @@
   return TRUE;
 }
 
+/* Writes the rows in LIST, or deletes them, and adds their tables to TABLES. */
 static void
-write_all (JsonArray *list, gboolean drop, GPtrArray *tables)
+apply_writes (JsonArray *list, gboolean delete_rows, GPtrArray *tables)
 {
   for (guint i = 0; i < json_array_get_length (list); i++)
     {
       JsonObject *o = json_array_get_object_element (list, i);
 
-      write_row (text_of (o, "table"), text_of (o, "key"),
-                 drop ? NULL : text_of (o, "value"));
-      g_ptr_array_add (tables, g_strdup (text_of (o, "table")));
+      write_row (string_member (o, "table"), string_member (o, "key"),
+                 delete_rows ? NULL : string_member (o, "value"));
+      g_ptr_array_add (tables, g_strdup (string_member (o, "table")));
     }
 }
 
-/* Carries the transaction TEXT out.  FALSE: a condition does not hold. */
+/* Applies the transaction TEXT.  Returns FALSE if a condition does not hold. */
 static gboolean
 transact (const char *text)
 {
@@ -206,28 +217,31 @@
 
   if (!conditions_hold (json_object_get_array_member (o, "precondition")))
     return FALSE;
-  newest++;
-  write_all (json_object_get_array_member (o, "puts"), FALSE, tables);
-  write_all (json_object_get_array_member (o, "deletes"), TRUE, tables);
+  newest_version++;
+  apply_writes (json_object_get_array_member (o, "puts"), FALSE, tables);
+  apply_writes (json_object_get_array_member (o, "deletes"), TRUE, tables);
   for (guint i = 0; i < tables->len; i++)
-    wake (tables->pdata[i]);
+    finish_feeds_of (tables->pdata[i]);
   return TRUE;
 }
 
+/* Applies a delayed transaction if its conditions still hold. */
 static gboolean
-on_late (gpointer text)
+on_late_write (gpointer text)
 {
   (void) transact (text);
   g_free (text);
   return G_SOURCE_REMOVE;
 }
 
+/* Closes the connection of M without a response. */
 static void
-cut_off (SoupServerMessage *m)
+close_connection (SoupServerMessage *m)
 {
   g_socket_shutdown (soup_server_message_get_socket (m), TRUE, TRUE, NULL);
 }
 
+/* Sends a delayed response. */
 static gboolean
 on_unpause (gpointer m)
 {
@@ -236,6 +250,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Handles a transaction.  In the mode for late writes it is applied later and
+ * gets no response; in the mode for lost responses it is applied at once. */
 static void
 on_transaction (SoupServerMessage *m)
 {
@@ -247,14 +263,15 @@
 
   if (mode == SOAK_TABLE_LATE_WRITE)
     {
-      g_timeout_add ((guint) g_random_int_range (LATE_LEAST_MS, LATE_MOST_MS),
-                     on_late, g_steal_pointer (&text));
-      cut_off (m);
+      g_timeout_add (
+          (guint) g_random_int_range (LATE_WRITE_MIN_MS, LATE_WRITE_MAX_MS),
+          on_late_write, g_steal_pointer (&text));
+      close_connection (m);
       return;
     }
   answer_rows (m, transact (text) ? 200 : 412, &s);
   if (mode == SOAK_TABLE_RESPONSE_LOST)
-    cut_off (m);
+    close_connection (m);
 }
 
 static void
@@ -267,30 +284,35 @@
   answer_rows (m, 200, &s);
 }
 
+/* Handles a feed request: responds when there are changes after the given
+ * version, or without any when "waitMs" is over. */
 static void
 on_feed (SoupServerMessage *m, GHashTable *query)
 {
-  Waiter *w = g_new0 (Waiter, 1);
+  FeedRequest *f = g_new0 (FeedRequest, 1);
   Selection s = { .from = "", .out = NULL };
   g_autoptr (JsonArray) found = json_array_new ();
 
-  w->message = g_object_ref (m);
-  w->table = g_strdup (g_hash_table_lookup (query, "table"));
-  w->after = g_ascii_strtoull (g_hash_table_lookup (query, "after"), NULL, 10);
-  s.table = w->table;
-  s.after = w->after;
-  s.dropped = TRUE;
+  f->message = g_object_ref (m);
+  f->table = g_strdup (g_hash_table_lookup (query, "table"));
+  f->after = g_ascii_strtoull (g_hash_table_lookup (query, "after"), NULL, 10);
+  s.table = f->table;
+  s.after = f->after;
+  s.deleted = TRUE;
   s.out = found;
   g_tree_foreach (rows, add_selected, &s);
   soup_server_message_pause (m);
-  waiters = g_list_prepend (waiters, w);
+  feed_requests = g_list_prepend (feed_requests, f);
   if (json_array_get_length (found) > 0)
-    waiter_end (w);
+    finish_feed (f);
   else
-    w->timeout = g_timeout_add (
-        (guint) atoi (g_hash_table_lookup (query, "waitMs")), on_wait_over, w);
+    f->timeout =
+        g_timeout_add ((guint) atoi (g_hash_table_lookup (query, "waitMs")),
+                       on_feed_timeout, f);
 }
 
+/* Dispatches a request, with the fault of the present mode.  A feed from before
+ * the truncated history gets status 410. */
 static void
 on_call (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
@@ -308,7 +330,8 @@
     on_transaction (m);
   else if (g_str_equal (path, "/v1/rows-get"))
     on_get (m, query);
-  else if (after != NULL && g_ascii_strtoull (after, NULL, 10) < forgotten)
+  else if (after != NULL &&
+           g_ascii_strtoull (after, NULL, 10) < truncated_version)
     cc_http_answer (m, 410, "text/plain", "");
   else
     {
@@ -318,40 +341,42 @@
   if (mode == SOAK_TABLE_SLOW)
     {
       soup_server_message_pause (m);
-      g_timeout_add (SLOW_MS, on_unpause, g_object_ref (m));
+      g_timeout_add (RESPONSE_DELAY_MS, on_unpause, g_object_ref (m));
     }
 }
 
-/* The store answers at ADDRESS (IP:PORT) from now on. */
+/* Starts the store at ADDRESS (IP:PORT); aborts if that is in use. */
 void
 soak_table_listen (const char *address)
 {
   SoupServer *server = soup_server_new (NULL, NULL);
   g_autofree char *message = NULL;
 
-  rows = g_tree_new_full (compare, NULL, g_free, NULL);
+  rows = g_tree_new_full (compare_keys, NULL, g_free, NULL);
   soup_server_add_handler (server, NULL, on_call, NULL, NULL);
   if (!cc_http_listen (server, address, &message))
     g_error ("soak: %s", message);
 }
 
-/* How calls are answered from now on. */
+/* Sets how requests are handled from now on. */
 void
-soak_table_set_mode (SoakTableMode now)
+soak_table_set_mode (SoakTableMode new_mode)
 {
-  mode = now;
+  mode = new_mode;
 }
 
-/* The history is dropped, and feeds end. */
+/* Drops the change history and ends all feed requests, so that gateways have to
+ * read the tables again. */
 void
 soak_table_truncate_history (void)
 {
-  forgotten = newest;
-  while (waiters != NULL)
-    waiter_end (waiters->data);
+  truncated_version = newest_version;
+  while (feed_requests != NULL)
+    finish_feed (feed_requests->data);
 }
 
-/* Writes as the operator or a server. */
+/* Writes a row as an operator or a server would, without conditions; VALUE NULL
+ * deletes it. */
 void
 soak_table_put (const char *table, const char *key, const char *value)
 {
@@ -359,12 +384,12 @@
       value == NULL ? NULL
                     : g_base64_encode ((const guchar *) value, strlen (value));
 
-  newest++;
+  newest_version++;
   write_row (table, key, base64);
-  wake (table);
+  finish_feeds_of (table);
 }
 
-/* Drops a row as its writer. */
+/* Deletes a row as its writer would. */
 void
 soak_table_delete (const char *table, const char *key)
 {
