--- a/test/platform.c
+++ b/test/platform.c
@@ -1,12 +1,14 @@
-/* Stand-in for the platform: a transactional table and an instance list.
+/* Simulates the platform for tests: a transactional table and an instance list.
  *
  * POST /v1/transaction  {"checks":[[key,version]],"writes":[[key,value]]}
  * GET  /v1/changes?since=N[&skip=PREFIX][&prefix=PREFIX]
  * GET  /v1/instances    lags by --lag-ms behind PUT /test/instances
- * PUT  /test/fault      {"mode":"up|down|slow|lose","ms":N}
+ * PUT  /test/fault?mode=up|down|slow|lose&ms=N
+ * GET  /test/stats      counts of reads and writes, and the newest version
  *
- * "down" answers 503, "slow" waits ms before it acts, "lose" acts and then
- * never answers. */
+ * The fault "down" answers all requests under /v1/ with status 503, "slow"
+ * delays their execution by ms, "lose" executes a transaction but never
+ * responds to it. */
 #include <stdio.h>
 #include <string.h>
 
@@ -22,59 +24,64 @@
   FAULT_NONE,
   FAULT_DOWN,
   FAULT_SLOW,
-  FAULT_LOSE
+  FAULT_LOSE_RESPONSES
 } Fault;
 
 typedef struct
 {
   CcView table;
-  guint64 last;    /* number of the newest transaction */
-  char *instances; /* JSON as served */
+  guint64 last_version; /* version of the newest transaction */
+  char *instances;      /* the instance list, in JSON */
   guint lag_ms;
   Fault fault;
   guint fault_ms;
   guint64 reads, writes;
 } Platform;
 
+/* A request that waits for its delay to be over. */
 typedef struct
 {
   Platform *platform;
   SoupServerMessage *message;
   GHashTable *query;
-  SoupServerCallback then;
-} Delayed;
+  SoupServerCallback handler;
+} DelayedRequest;
 
+/* Whether each row in CHECKS has the version given; 0: it must not exist. */
 static gboolean
-holds (Platform *p, JsonArray *checks)
+checks_hold (Platform *p, JsonArray *checks)
 {
   for (guint i = 0; i < json_array_get_length (checks); i++)
     {
       JsonArray *one = json_array_get_array_element (checks, i);
       const CcRow *row =
           cc_view_get (&p->table, json_array_get_string_element (one, 0));
-      gint64 wanted = json_array_get_int_element (one, 1);
+      gint64 expected = json_array_get_int_element (one, 1);
 
-      if ((row != NULL ? (gint64) row->version : 0) != wanted)
+      if ((row != NULL ? (gint64) row->version : 0) != expected)
         return FALSE;
     }
   return TRUE;
 }
 
+/* Writes the rows in WRITES as one new version; value null deletes a row. */
 static void
 apply (Platform *p, JsonArray *writes)
 {
-  p->last++;
+  p->last_version++;
   for (guint i = 0; i < json_array_get_length (writes); i++)
     {
       JsonArray *one = json_array_get_array_element (writes, i);
 
-      cc_view_put (&p->table, json_array_get_string_element (one, 0), p->last,
+      cc_view_put (&p->table, json_array_get_string_element (one, 0),
+                   p->last_version,
                    json_array_get_null_element (one, 1)
                        ? NULL
                        : json_array_get_string_element (one, 1));
     }
 }
 
+/* Applies a transaction if its checks hold, else responds with 409. */
 static void
 on_transaction (SoupServer *server, SoupServerMessage *m, const char *path,
                 GHashTable *query, gpointer data)
@@ -91,18 +98,20 @@
   p->writes++;
   if (o == NULL)
     cc_http_answer (m, SOUP_STATUS_BAD_REQUEST, "text/plain", "not JSON\n");
-  else if (!holds (p, json_object_get_array_member (o, "checks")))
+  else if (!checks_hold (p, json_object_get_array_member (o, "checks")))
     cc_http_answer (m, SOUP_STATUS_CONFLICT, "application/json", "{}");
   else
     {
       apply (p, json_object_get_array_member (o, "writes"));
-      answer = g_strdup_printf ("{\"version\":%" G_GUINT64_FORMAT "}", p->last);
+      answer = g_strdup_printf ("{\"version\":%" G_GUINT64_FORMAT "}",
+                                p->last_version);
       cc_http_answer (m, SOUP_STATUS_OK, "application/json", answer);
     }
-  if (p->fault == FAULT_LOSE)
+  if (p->fault == FAULT_LOSE_RESPONSES)
     soup_server_message_pause (m);
 }
 
+/* Returns the parameter NAME of QUERY as a number, or 0 if it is missing. */
 static guint64
 query_number (GHashTable *query, const char *name)
 {
@@ -111,6 +120,9 @@
   return text != NULL ? g_ascii_strtoull (text, NULL, 10) : 0;
 }
 
+/* Responds with the rows that changed after the version "since", deleted ones
+ * with value null.  Rows that start with "skip" and those that don't start with
+ * "prefix" are left out. */
 static void
 on_changes (SoupServer *server, SoupServerMessage *m, const char *path,
             GHashTable *query, gpointer data)
@@ -130,7 +142,7 @@
   p->reads++;
   json_builder_begin_object (b);
   json_builder_set_member_name (b, "upto");
-  json_builder_add_int_value (b, (gint64) p->last);
+  json_builder_add_int_value (b, (gint64) p->last_version);
   json_builder_set_member_name (b, "rows");
   json_builder_begin_array (b);
   g_variant_iter_init (&iter, rows);
@@ -155,16 +167,17 @@
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", text);
 }
 
+/* A list of instances that is served when the lag is over. */
 typedef struct
 {
   Platform *platform;
   char *instances;
-} Lagging;
+} PendingInstances;
 
 static gboolean
 on_lag_over (gpointer data)
 {
-  Lagging *l = data;
+  PendingInstances *l = data;
 
   g_free (l->platform->instances);
   l->platform->instances = l->instances;
@@ -182,6 +195,7 @@
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", p->instances);
 }
 
+/* Replaces the instance list after the lag. */
 static void
 on_set_instances (SoupServer *server, SoupServerMessage *m, const char *path,
                   GHashTable *query, gpointer data)
@@ -189,7 +203,7 @@
   Platform *p = data;
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
-  Lagging *l = g_new0 (Lagging, 1);
+  PendingInstances *l = g_new0 (PendingInstances, 1);
 
   l->platform = p;
   l->instances =
@@ -198,6 +212,7 @@
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", "{}");
 }
 
+/* Sets the fault that later requests meet. */
 static void
 on_set_fault (SoupServer *server, SoupServerMessage *m, const char *path,
               GHashTable *query, gpointer data)
@@ -221,17 +236,18 @@
   g_autofree char *text = g_strdup_printf (
       "{\"reads\":%" G_GUINT64_FORMAT ",\"writes\":%" G_GUINT64_FORMAT
       ",\"version\":%" G_GUINT64_FORMAT "}",
-      p->reads, p->writes, p->last);
+      p->reads, p->writes, p->last_version);
 
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", text);
 }
 
+/* Executes a delayed request. */
 static gboolean
 on_delay_over (gpointer data)
 {
-  Delayed *d = data;
+  DelayedRequest *d = data;
 
-  d->then (NULL, d->message, "", d->query, d->platform);
+  d->handler (NULL, d->message, "", d->query, d->platform);
   soup_server_message_unpause (d->message);
   g_object_unref (d->message);
   if (d->query != NULL)
@@ -240,11 +256,13 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Calls HANDLER for a request under the present fault: rejects it, delays it or
+ * executes it at once. */
 static void
-with_fault (SoupServer *server, SoupServerMessage *m, GHashTable *query,
-            Platform *p, SoupServerCallback then)
+handle_with_fault (SoupServer *server, SoupServerMessage *m, GHashTable *query,
+                   Platform *p, SoupServerCallback handler)
 {
-  Delayed *d;
+  DelayedRequest *d;
 
   if (p->fault == FAULT_DOWN)
     {
@@ -254,29 +272,30 @@
     }
   if (p->fault != FAULT_SLOW)
     {
-      then (server, m, "", query, p);
+      handler (server, m, "", query, p);
       return;
     }
-  d = g_new0 (Delayed, 1);
+  d = g_new0 (DelayedRequest, 1);
   d->platform = p;
   d->message = g_object_ref (m);
   d->query = query != NULL ? g_hash_table_ref (query) : NULL;
-  d->then = then;
+  d->handler = handler;
   soup_server_message_pause (m);
   g_timeout_add (p->fault_ms, on_delay_over, d);
 }
 
-#define FAULTY(name)                                                           \
-  static void faulty_##name (SoupServer *server, SoupServerMessage *m,         \
-                             const char *path, GHashTable *query,              \
-                             gpointer data)                                    \
+/* Defines the handler of a request that is subject to faults. */
+#define WITH_FAULT(name)                                                       \
+  static void name##_with_fault (SoupServer *server, SoupServerMessage *m,     \
+                                 const char *path, GHashTable *query,          \
+                                 gpointer data)                                \
   {                                                                            \
-    with_fault (server, m, query, data, on_##name);                            \
+    handle_with_fault (server, m, query, data, on_##name);                     \
   }
 
-FAULTY (transaction)
-FAULTY (changes)
-FAULTY (instances)
+WITH_FAULT (transaction)
+WITH_FAULT (changes)
+WITH_FAULT (instances)
 
 int
 main (int argc, char **argv)
@@ -293,17 +312,18 @@
   g_autofree char *message = NULL;
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
 
-  if (cc_settings_read (settings, "platform", "Stand-in for the platform.",
+  if (cc_settings_read (settings, "platform", "Simulated platform for tests.",
                         argc, argv) != CC_START_RUN)
     return 2;
   cc_view_init (&p.table);
   p.lag_ms = (guint) cc_setting_number (settings, "lag-ms");
   p.instances = g_strdup ("{\"instances\":[]}");
   server = soup_server_new (NULL, NULL);
-  soup_server_add_handler (server, "/v1/transaction", faulty_transaction, &p,
+  soup_server_add_handler (server, "/v1/transaction", transaction_with_fault,
+                           &p, NULL);
+  soup_server_add_handler (server, "/v1/changes", changes_with_fault, &p, NULL);
+  soup_server_add_handler (server, "/v1/instances", instances_with_fault, &p,
                            NULL);
-  soup_server_add_handler (server, "/v1/changes", faulty_changes, &p, NULL);
-  soup_server_add_handler (server, "/v1/instances", faulty_instances, &p, NULL);
   soup_server_add_handler (server, "/test/instances", on_set_instances, &p,
                            NULL);
   soup_server_add_handler (server, "/test/fault", on_set_fault, &p, NULL);
--- a/test/relay.c
+++ b/test/relay.c
@@ -1,22 +1,24 @@
-/* A TCP relay in front of every mailbox, server and the platform, by which
- * tests cut links.
+/* TCP relay that tests place in front of every mailbox, server and the platform
+ * to inject network faults.
  *
  * Its map file has two kinds of lines:
- *   front FRONT REAL ZONE NAME   connections to FRONT (IP:PORT) go to REAL
- *   from  IP ZONE NAME           connections from IP come from there
- * A rule names two ends, each a zone or a name.
- *   PUT /cut?a=X&b=Y     what passes between X and Y stops, nothing is closed;
- *                        after /heal it flows on, as TCP's repeats would
- *   PUT /oneway?a=X&b=Y  the same for what X sends to Y only
- *   PUT /delay?a=X&b=Y&ms=N  each piece between X and Y waits N ms
- *   PUT /heal?a=X&b=Y    those end that were set for X and Y; without, all do
- *   PUT /reset?a=X&b=Y&percent=N  so many of the connections are reset
- *   PUT /silence?a=X&b=Y open connections between X and Y swallow everything
- *                        for good, new ones work
- * Each answers with the number of connections it touched.
- *   GET /traffic         a line for each front: its name, bytes passed both
- * ways
- */
+ *   front FRONT TARGET ZONE NAME  forwards connections from FRONT (IP:PORT) to
+ *                                 TARGET, which has this zone and name
+ *   from  IP ZONE NAME            zone and name of connections from IP
+ * A rule names two endpoints, each by a zone, a name or "*".
+ *   PUT /cut?a=X&b=Y     stops all data between X and Y without closing
+ *                        connections; after /heal it flows on, as it would
+ *                        after a retransmission by TCP
+ *   PUT /oneway?a=X&b=Y  the same, only for data from X to Y
+ *   PUT /delay?a=X&b=Y&ms=N  delays each chunk between X and Y by N ms
+ *   PUT /heal?a=X&b=Y    removes the rules for X and Y, or all without a
+ *   PUT /reset?a=X&b=Y&percent=N  resets this share of the connections
+ *   PUT /silence?a=X&b=Y open connections between X and Y pass nothing any
+ *                        more, also after /heal; new ones work
+ * Each responds with the number of connections affected; /heal with the number
+ * of rules removed.
+ *   GET /traffic         a line for each front: its name and the bytes passed
+ *                        in both directions */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <signal.h>
@@ -31,13 +33,14 @@
 #include "admin.h"
 #include "settings.h"
 
-#define BUFFER 65536
+#define BUFFER_SIZE 65536
 
+/* Where a connection comes from or leads to. */
 typedef struct
 {
   char *zone;
   char *name;
-} End;
+} Endpoint;
 
 typedef enum
 {
@@ -53,32 +56,35 @@
   guint delay; /* ms */
 } Rule;
 
+/* An address that the relay listens on. */
 typedef struct
 {
-  GSocketAddress *real;
-  End end;
-  guint64 passed; /* bytes, both ways */
+  GSocketAddress *target;
+  Endpoint endpoint;
+  guint64 bytes_passed; /* in both directions */
 } Front;
 
 typedef struct Link Link;
 
+/* One direction of a connection. */
 typedef struct
 {
   Link *link;
-  int from, to; /* files */
+  int from, to; /* file descriptors */
   char *data;
-  gsize filled, written;
-  gboolean waited; /* a delay for what is filled is over */
-  guint watch;     /* a source of the main loop */
+  gsize filled, written; /* bytes of the chunk read, and of it sent */
+  gboolean delay_done;   /* the delay of this chunk is over */
+  guint watch;           /* main loop source; 0: none */
 } Flow;
 
+/* A relayed connection; flow 0 leads to the target. */
 struct Link
 {
-  End source;
+  Endpoint source;
   Front *front;
   int fd[2];
   Flow flow[2];
-  gboolean silent;
+  gboolean blackholed;
   gboolean connected;
 };
 
@@ -87,70 +93,76 @@
 static GPtrArray *rules;
 static GHashTable *sources; /* IP to End */
 
-static void arm (Flow *f);
+static void watch_flow (Flow *f);
 
+/* Whether WHERE is the zone or name of E, or "*". */
 static gboolean
-is_at (const End *e, const char *where)
+matches (const Endpoint *e, const char *where)
 {
   return g_str_equal (where, "*") || g_str_equal (e->zone, where) ||
          g_str_equal (e->name, where);
 }
 
+/* Whether L is a link between A and B, in either direction. */
 static gboolean
-is_between (const Link *l, const char *a, const char *b)
+connects (const Link *l, const char *a, const char *b)
 {
-  const End *s = &l->source, *t = &l->front->end;
+  const Endpoint *s = &l->source, *t = &l->front->endpoint;
 
-  return (is_at (s, a) && is_at (t, b)) || (is_at (s, b) && is_at (t, a));
+  return (matches (s, a) && matches (t, b)) ||
+         (matches (s, b) && matches (t, a));
 }
 
+/* Whether R affects data in the direction of F. */
 static gboolean
-holds_for (const Rule *r, const Flow *f)
+applies_to (const Rule *r, const Flow *f)
 {
   const Link *l = f->link;
-  const End *from = f == &l->flow[0] ? &l->source : &l->front->end;
-  const End *to = f == &l->flow[0] ? &l->front->end : &l->source;
+  const Endpoint *from = f == &l->flow[0] ? &l->source : &l->front->endpoint;
+  const Endpoint *to = f == &l->flow[0] ? &l->front->endpoint : &l->source;
 
   switch (r->kind)
     {
     case RULE_CUT:
     case RULE_DELAY:
-      return is_between (l, r->a, r->b);
+      return connects (l, r->a, r->b);
     case RULE_ONE_WAY:
-      return is_at (from, r->a) && is_at (to, r->b);
+      return matches (from, r->a) && matches (to, r->b);
     }
   return FALSE;
 }
 
+/* Whether F must not pass data now. */
 static gboolean
-is_cut (const Flow *f)
+is_blocked (const Flow *f)
 {
   for (guint i = 0; i < rules->len; i++)
     {
       const Rule *r = rules->pdata[i];
 
-      if (r->kind != RULE_DELAY && holds_for (r, f))
+      if (r->kind != RULE_DELAY && applies_to (r, f))
         return TRUE;
     }
-  return f->link->silent;
+  return f->link->blackholed;
 }
 
-/* How long a piece of F is held back, ms. */
+/* Returns the longest delay set for a chunk of F, ms. */
 static guint
-delay_of (const Flow *f)
+flow_delay (const Flow *f)
 {
-  guint most = 0;
+  guint max = 0;
 
   for (guint i = 0; i < rules->len; i++)
     {
       const Rule *r = rules->pdata[i];
 
-      if (r->kind == RULE_DELAY && holds_for (r, f))
-        most = MAX (most, r->delay);
+      if (r->kind == RULE_DELAY && applies_to (r, f))
+        max = MAX (max, r->delay);
     }
-  return most;
+  return max;
 }
 
+/* Closes both connections of L and frees it. */
 static void
 link_close (Link *l)
 {
@@ -166,20 +178,23 @@
   g_free (l);
 }
 
+/* Reads a chunk.  Returns FALSE at the end of the connection or on an error. */
 static gboolean
 read_some (Flow *f)
 {
-  gssize n = read (f->from, f->data, BUFFER);
+  gssize n = read (f->from, f->data, BUFFER_SIZE);
 
   if (n <= 0)
     return n < 0 && errno == EAGAIN;
-  f->link->front->passed += (guint64) n;
+  f->link->front->bytes_passed += (guint64) n;
   f->filled = (gsize) n;
   f->written = 0;
-  f->waited = FALSE;
+  f->delay_done = FALSE;
   return TRUE;
 }
 
+/* Sends what is left of the chunk, as far as the socket takes it.  Returns
+ * FALSE on an error. */
 static gboolean
 write_some (Flow *f)
 {
@@ -195,69 +210,75 @@
 }
 
 static gboolean
-on_waited (gpointer data)
+on_delay_over (gpointer data)
 {
   Flow *f = data;
 
   f->watch = 0;
-  f->waited = TRUE;
-  arm (f);
+  f->delay_done = TRUE;
+  watch_flow (f);
   return G_SOURCE_REMOVE;
 }
 
+/* Reads or sends when a socket of the flow is ready. */
 static gboolean
-on_flow (gint fd, GIOCondition condition, gpointer data)
+on_flow_ready (gint fd, GIOCondition condition, gpointer data)
 {
   Flow *f = data;
-  gboolean good;
+  gboolean ok;
 
   (void) fd, (void) condition;
   f->watch = 0;
-  if (is_cut (f))
+  if (is_blocked (f))
     return G_SOURCE_REMOVE;
-  good = f->filled > 0 ? write_some (f) : read_some (f);
-  if (good && f->filled > f->written && delay_of (f) == 0)
-    good = write_some (f);
-  if (good)
-    arm (f);
+  ok = f->filled > 0 ? write_some (f) : read_some (f);
+  if (ok && f->filled > f->written && flow_delay (f) == 0)
+    ok = write_some (f);
+  if (ok)
+    watch_flow (f);
   else
     link_close (f->link);
   return G_SOURCE_REMOVE;
 }
 
+/* Waits for what F needs next: the delay of its chunk, or a socket to become
+ * writable or readable.  Does nothing while F is blocked. */
 static void
-arm (Flow *f)
+watch_flow (Flow *f)
 {
   guint delay;
 
-  if (f->watch != 0 || f->link->fd[1] < 0 || is_cut (f))
+  if (f->watch != 0 || f->link->fd[1] < 0 || is_blocked (f))
     return;
-  delay = f->filled > 0 && !f->waited ? delay_of (f) : 0;
+  delay = f->filled > 0 && !f->delay_done ? flow_delay (f) : 0;
   if (delay > 0)
-    f->watch = g_timeout_add (delay, on_waited, f);
+    f->watch = g_timeout_add (delay, on_delay_over, f);
   else if (f->filled > 0)
-    f->watch = g_unix_fd_add (f->to, G_IO_OUT | G_IO_ERR, on_flow, f);
+    f->watch = g_unix_fd_add (f->to, G_IO_OUT | G_IO_ERR, on_flow_ready, f);
   else
-    f->watch =
-        g_unix_fd_add (f->from, G_IO_IN | G_IO_HUP | G_IO_ERR, on_flow, f);
+    f->watch = g_unix_fd_add (f->from, G_IO_IN | G_IO_HUP | G_IO_ERR,
+                              on_flow_ready, f);
 }
 
-/* Doesn't wait: a frozen process with a full backlog answers no handshake, and
- * the relay would stand still for everybody. */
+/* Opens a connection to the target of L from the address SOURCE, without
+ * blocking: a frozen process with a full backlog does not complete the
+ * handshake, which would stall the relay for all links.  Returns -1 on an
+ * error. */
 static int
-connect_real (const Link *l, const char *source)
+connect_target (const Link *l, const char *source)
 {
-  guint8 raw[128];
-  gssize size = g_socket_address_get_native_size (l->front->real);
+  guint8 target_raw[128];
+  gssize size = g_socket_address_get_native_size (l->front->target);
   g_autoptr (GSocketAddress) local =
       g_inet_socket_address_new_from_string (source, 0);
-  guint8 own[128];
+  guint8 local_raw[128];
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
 
-  g_socket_address_to_native (l->front->real, raw, sizeof raw, NULL);
-  g_socket_address_to_native (local, own, sizeof own, NULL);
-  if (bind (fd, (struct sockaddr *) own, (socklen_t) size) != 0 ||
-      (connect (fd, (struct sockaddr *) raw, (socklen_t) size) != 0 &&
+  g_socket_address_to_native (l->front->target, target_raw, sizeof target_raw,
+                              NULL);
+  g_socket_address_to_native (local, local_raw, sizeof local_raw, NULL);
+  if (bind (fd, (struct sockaddr *) local_raw, (socklen_t) size) != 0 ||
+      (connect (fd, (struct sockaddr *) target_raw, (socklen_t) size) != 0 &&
        errno != EINPROGRESS))
     {
       close (fd);
@@ -266,11 +287,12 @@
   return fd;
 }
 
+/* Connects L to its target and starts to pass data. */
 static void
 link_open (Link *l)
 {
   l->connected = TRUE;
-  l->fd[1] = connect_real (l, "127.0.0.1");
+  l->fd[1] = connect_target (l, "127.0.0.1");
   if (l->fd[1] < 0)
     {
       link_close (l);
@@ -280,43 +302,45 @@
     {
       l->flow[i].from = l->fd[i];
       l->flow[i].to = l->fd[1 - i];
-      arm (&l->flow[i]);
+      watch_flow (&l->flow[i]);
     }
 }
 
+/* Accepts a connection.  If a rule blocks it, the connection to the target is
+ * opened when that is removed. */
 static gboolean
 on_accept (gint fd, GIOCondition condition, gpointer data)
 {
   Front *front = data;
   struct sockaddr_storage peer;
   socklen_t size = sizeof peer;
-  int one = accept4 (fd, (struct sockaddr *) &peer, &size,
-                     SOCK_CLOEXEC | SOCK_NONBLOCK);
+  int client_fd = accept4 (fd, (struct sockaddr *) &peer, &size,
+                           SOCK_CLOEXEC | SOCK_NONBLOCK);
   g_autoptr (GSocketAddress) address = NULL;
   g_autofree char *ip = NULL;
-  static End nowhere = { (char *) "-", (char *) "-" };
-  End *source;
+  static Endpoint unknown_source = { (char *) "-", (char *) "-" };
+  Endpoint *source;
   Link *l;
 
   (void) condition;
-  if (one < 0)
+  if (client_fd < 0)
     return G_SOURCE_CONTINUE;
   address = g_socket_address_new_from_native (&peer, size);
   ip = g_inet_address_to_string (
       g_inet_socket_address_get_address (G_INET_SOCKET_ADDRESS (address)));
   source = g_hash_table_lookup (sources, ip);
   l = g_new0 (Link, 1);
-  l->source = source != NULL ? *source : nowhere;
+  l->source = source != NULL ? *source : unknown_source;
   l->front = front;
-  l->fd[0] = one;
+  l->fd[0] = client_fd;
   l->fd[1] = -1;
   for (guint i = 0; i < 2; i++)
     {
       l->flow[i].link = l;
-      l->flow[i].data = g_malloc (BUFFER);
+      l->flow[i].data = g_malloc (BUFFER_SIZE);
     }
   g_ptr_array_add (links, l);
-  if (!is_cut (&l->flow[0]) && !is_cut (&l->flow[1]))
+  if (!is_blocked (&l->flow[0]) && !is_blocked (&l->flow[1]))
     link_open (l);
   return G_SOURCE_CONTINUE;
 }
@@ -331,6 +355,7 @@
   return g_inet_socket_address_new_from_string (ip, port);
 }
 
+/* Listens on the front that the fields F of a line of the map describe. */
 static void
 open_front (char **f)
 {
@@ -341,9 +366,9 @@
                              G_SOCKET_PROTOCOL_TCP, NULL);
 
   g_ptr_array_add (fronts, front);
-  front->real = parse_address (f[2]);
-  front->end.zone = g_strdup (f[3]);
-  front->end.name = g_strdup (f[4]);
+  front->target = parse_address (f[2]);
+  front->endpoint.zone = g_strdup (f[3]);
+  front->endpoint.name = g_strdup (f[4]);
   g_socket_set_listen_backlog (s, 1024);
   g_socket_set_blocking (s, FALSE);
   if (!g_socket_bind (s, at, TRUE, &error) || !g_socket_listen (s, &error))
@@ -351,6 +376,7 @@
   g_unix_fd_add (g_socket_get_fd (s), G_IO_IN, on_accept, front);
 }
 
+/* Reads the map of fronts and sources; aborts on an error. */
 static void
 read_map (const char *file)
 {
@@ -368,7 +394,7 @@
         open_front (f);
       if (g_strv_length (f) == 4)
         {
-          End *e = g_new0 (End, 1);
+          Endpoint *e = g_new0 (Endpoint, 1);
 
           e->zone = g_strdup (f[2]);
           e->name = g_strdup (f[3]);
@@ -385,7 +411,7 @@
   cc_http_answer (m, SOUP_STATUS_OK, "text/plain", text);
 }
 
-/* DATA is the kind of the rule, as a pointer. */
+/* Adds a rule; DATA is its kind, as a pointer. */
 static void
 on_rule (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
@@ -400,26 +426,29 @@
   r->b = g_strdup (g_hash_table_lookup (query, "b"));
   r->delay = ms != NULL ? (guint) atoi (ms) : 0;
   for (guint i = 0; i < links->len; i++)
-    n += is_between (links->pdata[i], r->a, r->b);
+    n += connects (links->pdata[i], r->a, r->b);
   g_ptr_array_add (rules, r);
   answer_count (m, n);
 }
 
+/* Makes close send a reset on FD. */
 static void
-reset (int fd)
+set_reset_on_close (int fd)
 {
-  struct linger now = { 1, 0 };
+  struct linger zero_linger = { 1, 0 };
 
   if (fd >= 0)
-    (void) setsockopt (fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    (void) setsockopt (fd, SOL_SOCKET, SO_LINGER, &zero_linger,
+                       sizeof zero_linger);
 }
 
+/* Resets a random share of the links between two endpoints. */
 static void
 on_reset (SoupServer *server, SoupServerMessage *m, const char *path,
           GHashTable *query, gpointer data)
 {
   const char *percent = g_hash_table_lookup (query, "percent");
-  gint32 part = percent != NULL ? atoi (percent) : 100;
+  gint32 percentage = percent != NULL ? atoi (percent) : 100;
   guint n = 0;
 
   (void) server, (void) path, (void) data;
@@ -427,27 +456,28 @@
     {
       Link *l = links->pdata[i];
 
-      if (!is_between (l, g_hash_table_lookup (query, "a"),
-                       g_hash_table_lookup (query, "b")) ||
-          g_random_int_range (0, 100) >= part)
+      if (!connects (l, g_hash_table_lookup (query, "a"),
+                     g_hash_table_lookup (query, "b")) ||
+          g_random_int_range (0, 100) >= percentage)
         continue;
-      reset (l->fd[0]);
-      reset (l->fd[1]);
+      set_reset_on_close (l->fd[0]);
+      set_reset_on_close (l->fd[1]);
       link_close (l);
       n++;
     }
   answer_count (m, n);
 }
 
-/* Whether R is between the ends A and B as they were named; without A all are
- * meant. */
+/* Whether R was set for the same A and B.  Without A, any rule matches. */
 static gboolean
-is_named (const Rule *r, const char *a, const char *b)
+rule_matches (const Rule *r, const char *a, const char *b)
 {
   return a == NULL || a[0] == '\0' ||
          (g_str_equal (r->a, a) && g_strcmp0 (r->b, b) == 0);
 }
 
+/* Removes rules, and resumes or opens the links that are not blocked any more.
+ */
 static void
 on_heal (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
@@ -457,8 +487,8 @@
 
   (void) server, (void) path, (void) data;
   for (guint i = rules->len; i-- > 0;)
-    if (is_named (rules->pdata[i], g_hash_table_lookup (query, "a"),
-                  g_hash_table_lookup (query, "b")))
+    if (rule_matches (rules->pdata[i], g_hash_table_lookup (query, "a"),
+                      g_hash_table_lookup (query, "b")))
       {
         g_ptr_array_remove_index (rules, i);
         n++;
@@ -467,17 +497,19 @@
     {
       Link *l = all->pdata[i];
 
-      if (!l->connected && !is_cut (&l->flow[0]) && !is_cut (&l->flow[1]))
+      if (!l->connected && !is_blocked (&l->flow[0]) &&
+          !is_blocked (&l->flow[1]))
         link_open (l);
       else if (l->connected)
         {
-          arm (&l->flow[0]);
-          arm (&l->flow[1]);
+          watch_flow (&l->flow[0]);
+          watch_flow (&l->flow[1]);
         }
     }
   answer_count (m, n);
 }
 
+/* Blocks the open links between two endpoints permanently. */
 static void
 on_silence (SoupServer *server, SoupServerMessage *m, const char *path,
             GHashTable *query, gpointer data)
@@ -489,10 +521,10 @@
     {
       Link *l = links->pdata[i];
 
-      if (!is_between (l, g_hash_table_lookup (query, "a"),
-                       g_hash_table_lookup (query, "b")))
+      if (!connects (l, g_hash_table_lookup (query, "a"),
+                     g_hash_table_lookup (query, "b")))
         continue;
-      l->silent = TRUE;
+      l->blackholed = TRUE;
       n++;
     }
   answer_count (m, n);
@@ -509,8 +541,8 @@
     {
       const Front *f = fronts->pdata[i];
 
-      g_string_append_printf (text, "%s %" G_GUINT64_FORMAT "\n", f->end.name,
-                              f->passed);
+      g_string_append_printf (text, "%s %" G_GUINT64_FORMAT "\n",
+                              f->endpoint.name, f->bytes_passed);
     }
   cc_http_answer (m, SOUP_STATUS_OK, "text/plain", text->str);
 }
@@ -520,7 +552,7 @@
 {
   CcSetting settings[] = {
     { CC_SETTING_STRING, "instance", "relay", "name in logs", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "control", NULL, "where rules are set", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "control", NULL, "address for commands", 0, 0, NULL },
     { CC_SETTING_STRING, "map", NULL, "file of fronts and sources", 0, 0,
       NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
@@ -529,10 +561,10 @@
   g_autoptr (SoupServer) control = soup_server_new (NULL, NULL);
   g_autofree char *message = NULL;
 
-  if (cc_settings_read (settings, "relay", "Cuts links between zones.", argc,
-                        argv) != CC_START_RUN)
+  if (cc_settings_read (settings, "relay", "Relay that injects network faults.",
+                        argc, argv) != CC_START_RUN)
     return 2;
-  /* An end of a link may close while the other is written to. */
+  /* A peer may close its connection while the relay writes to it. */
   signal (SIGPIPE, SIG_IGN);
   links = g_ptr_array_new ();
   fronts = g_ptr_array_new ();
--- a/test/upstream.c
+++ b/test/upstream.c
@@ -1,13 +1,14 @@
-/* Stand-in for one upstream server: 4 slots, a bounded queue, deadlines,
- * fenced grants (checked or not), and a record of everything it ran.
+/* Simulates one upstream server: 4 slots, a bounded queue, deadlines, fenced
+ * grants (checked or not), and a record file of everything that it ran.
  *
- * Record lines, one write each:
- *   B run_id marker key_hash slice epoch term wall_us       work begins
- *   E run_id marker key_hash slice epoch term wall_us       work took effect
- * A refusal for its grant at the moment of effect leaves a line R in place of
- * E: nothing took effect.
+ * Record lines, each written by one write call:
+ *   B run_id marker key_hash slice epoch term wall_us pool  work began
+ *   E run_id marker key_hash slice epoch term wall_us pool  work took effect
+ * If the grant is not valid any more at the end of the work, the server rejects
+ * the request and writes R in place of E: nothing took effect.
  *
- * PUT /test/behave?work_us=N&shed=0|1&lie=0|1 changes its behaviour. */
+ * PUT /test/behave?work_us=N&shed=0|1&lie=0|1 sets the mean work time, whether
+ * the server sheds all requests, and whether it reports no load. */
 #include <fcntl.h>
 #include <stdio.h>
 #include <string.h>
@@ -20,25 +21,26 @@
 #include "settings.h"
 #include "slicemap.h"
 
-#define QUEUE_MAX 120 /* with 4 slots, below its 130 connections */
+#define QUEUE_MAX 120 /* with 4 slots, below the limit of 130 connections */
 
 typedef struct
 {
   char *name;
   char *pool;
-  gboolean checks;
+  gboolean checks_grants;
   guint slots;
   guint work_us;
   gboolean shed;
-  gboolean lie;       /* reports no load */
-  int records;        /* file */
-  guint64 term;       /* highest seen */
-  gint64 lapses;      /* when the grant lapses, us */
-  GHashTable *epochs; /* slice to epoch, of the grant */
-  GQueue waiting;     /* of Work */
+  gboolean hides_load; /* reports no load */
+  int record_file;     /* file descriptor */
+  guint64 term;        /* highest term received */
+  gint64 expires;      /* end of the grant, us */
+  GHashTable *epochs;  /* slice to epoch, of the grant */
+  GQueue queued;       /* of Work */
   guint running;
 } Upstream;
 
+/* A request, queued or running. */
 typedef struct
 {
   Upstream *upstream;
@@ -51,11 +53,12 @@
   guint64 term;
   gint64 deadline; /* wall clock, ms */
   guint work_us;
-  gboolean gone; /* the caller closed the connection */
+  gboolean disconnected; /* the caller closed the connection */
 } Work;
 
+/* Returns the request header NAME of M, or "" if it is missing. */
 static const char *
-header (SoupServerMessage *m, const char *name)
+request_header (SoupServerMessage *m, const char *name)
 {
   const char *v = soup_message_headers_get_one (
       soup_server_message_get_request_headers (m), name);
@@ -63,19 +66,21 @@
   return v != NULL ? v : "";
 }
 
+/* Appends the line of EVENT (B, E or R) for W to the record file. */
 static void
-record (Work *w, char what)
+write_record (Work *w, char event)
 {
   g_autofree char *line =
       g_strdup_printf ("%c %s %s %" G_GUINT64_FORMAT " %u %" G_GUINT64_FORMAT
                        " %" G_GUINT64_FORMAT " %" G_GINT64_FORMAT " %s\n",
-                       what, w->run_id, w->marker, w->key, w->slice, w->epoch,
+                       event, w->run_id, w->marker, w->key, w->slice, w->epoch,
                        w->term, cc_clock_wall (), w->upstream->pool);
 
-  if (write (w->upstream->records, line, strlen (line)) < 0)
-    fprintf (stderr, "%s: can't record\n", w->upstream->name);
+  if (write (w->upstream->record_file, line, strlen (line)) < 0)
+    fprintf (stderr, "%s: can't write to the record file\n", w->upstream->name);
 }
 
+/* Rejects M with the outcome not-run. */
 static void
 refuse (SoupServerMessage *m, guint status, const char *text)
 {
@@ -84,17 +89,20 @@
   cc_http_answer (m, status, "text/plain", text);
 }
 
+/* Whether the grant of U is in force and covers the slice of W with the same
+ * term and epoch.  Always TRUE if U does not check grants. */
 static gboolean
 is_granted (Upstream *u, const Work *w)
 {
   gpointer epoch = g_hash_table_lookup (u->epochs, GUINT_TO_POINTER (w->slice));
 
-  if (!u->checks)
+  if (!u->checks_grants)
     return TRUE;
-  return w->term == u->term && cc_clock_now () < u->lapses &&
+  return w->term == u->term && cc_clock_now () < u->expires &&
          GPOINTER_TO_SIZE (epoch) == w->epoch;
 }
 
+/* Sends the response to W and frees W. */
 static void
 work_free (Work *w)
 {
@@ -106,10 +114,12 @@
   g_free (w);
 }
 
-static void pump (Upstream *u);
+static void run_queued (Upstream *u);
 
+/* Sets the response to W, which took effect: the marker, the server's name, the
+ * method and the request body. */
 static void
-answer_work (Work *w)
+respond_run (Work *w)
 {
   g_autoptr (GBytes) body = soup_message_body_flatten (
       soup_server_message_get_request_body (w->message));
@@ -125,6 +135,8 @@
         soup_server_message_get_response_body (w->message), body);
 }
 
+/* Checks the grant again at the end of the work, records the result and starts
+ * queued work. */
 static gboolean
 on_work_done (gpointer data)
 {
@@ -134,22 +146,23 @@
   u->running--;
   if (is_granted (u, w))
     {
-      record (w, 'E');
-      answer_work (w);
+      write_record (w, 'E');
+      respond_run (w);
     }
   else
     {
-      record (w, 'R');
+      write_record (w, 'R');
       refuse (w->message, SOUP_STATUS_PRECONDITION_FAILED, "grant\n");
     }
   work_free (w);
-  pump (u);
+  run_queued (u);
   return G_SOURCE_REMOVE;
 }
 
-/* Work of no length is done at once: a timer's least is 1 ms. */
+/* Schedules the end of W.  Work time 0 uses an idle source, as a timer takes at
+ * least 1 ms. */
 static void
-schedule (Work *w)
+schedule_end (Work *w)
 {
   if (w->work_us > 0)
     g_timeout_add (MAX (w->work_us / 1000, 1), on_work_done, w);
@@ -157,46 +170,51 @@
     g_idle_add_full (G_PRIORITY_DEFAULT, on_work_done, w, NULL);
 }
 
+/* Starts W, or rejects it if its caller has disconnected, its deadline is over
+ * or its slice is not granted. */
 static void
-start (Upstream *u, Work *w)
+start_work (Upstream *u, Work *w)
 {
-  if (w->gone || cc_clock_wall () / CC_MS > w->deadline)
+  if (w->disconnected || cc_clock_wall () / CC_MS > w->deadline)
     refuse (w->message, SOUP_STATUS_SERVICE_UNAVAILABLE, "deadline\n");
   else if (!is_granted (u, w))
     refuse (w->message, SOUP_STATUS_PRECONDITION_FAILED, "grant\n");
   else
     {
       u->running++;
-      record (w, 'B');
-      schedule (w);
+      write_record (w, 'B');
+      schedule_end (w);
       return;
     }
   work_free (w);
 }
 
+/* Starts queued work while slots are free. */
 static void
-pump (Upstream *u)
+run_queued (Upstream *u)
 {
-  while (u->running < u->slots && !g_queue_is_empty (&u->waiting))
-    start (u, g_queue_pop_head (&u->waiting));
+  while (u->running < u->slots && !g_queue_is_empty (&u->queued))
+    start_work (u, g_queue_pop_head (&u->queued));
 }
 
 static void
-on_gone (SoupServerMessage *m, gpointer data)
+on_disconnected (SoupServerMessage *m, gpointer data)
 {
-  ((Work *) data)->gone = TRUE;
+  ((Work *) data)->disconnected = TRUE;
 }
 
+/* Queues a request, or sheds it if that is set or the queue is full.  Without
+ * X-Work-Us the work time is random, 0.5 to 1.5 of the mean. */
 static void
 on_work (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
 {
   Upstream *u = data;
-  const char *key = header (m, CC_HDR_KEY);
-  const char *asked = header (m, "X-Work-Us");
+  const char *key = request_header (m, CC_HDR_KEY);
+  const char *work_text = request_header (m, "X-Work-Us");
   Work *w;
 
-  if (u->shed || u->waiting.length >= QUEUE_MAX)
+  if (u->shed || u->queued.length >= QUEUE_MAX)
     {
       refuse (m, SOUP_STATUS_SERVICE_UNAVAILABLE, "shed\n");
       return;
@@ -204,24 +222,26 @@
   w = g_new0 (Work, 1);
   w->upstream = u;
   w->message = g_object_ref (m);
-  w->run_id = g_strdup (header (m, CC_HDR_RUN_ID));
-  w->marker = g_strdup (header (m, "X-Marker"));
+  w->run_id = g_strdup (request_header (m, CC_HDR_RUN_ID));
+  w->marker = g_strdup (request_header (m, "X-Marker"));
   w->key = cc_key_hash (key, strlen (key));
-  w->slice = (guint) g_ascii_strtoull (header (m, CC_HDR_SLICE), NULL, 10);
-  w->epoch = g_ascii_strtoull (header (m, CC_HDR_EPOCH), NULL, 10);
-  w->term = g_ascii_strtoull (header (m, CC_HDR_TERM), NULL, 10);
-  w->deadline = g_ascii_strtoll (header (m, CC_HDR_DEADLINE), NULL, 10);
-  w->work_us = asked[0] != '\0'
-                   ? (guint) g_ascii_strtoull (asked, NULL, 10)
+  w->slice =
+      (guint) g_ascii_strtoull (request_header (m, CC_HDR_SLICE), NULL, 10);
+  w->epoch = g_ascii_strtoull (request_header (m, CC_HDR_EPOCH), NULL, 10);
+  w->term = g_ascii_strtoull (request_header (m, CC_HDR_TERM), NULL, 10);
+  w->deadline = g_ascii_strtoll (request_header (m, CC_HDR_DEADLINE), NULL, 10);
+  w->work_us = work_text[0] != '\0'
+                   ? (guint) g_ascii_strtoull (work_text, NULL, 10)
                    : (guint) (u->work_us * g_random_double_range (0.5, 1.5));
-  g_signal_connect (m, "disconnected", G_CALLBACK (on_gone), w);
+  g_signal_connect (m, "disconnected", G_CALLBACK (on_disconnected), w);
   soup_server_message_pause (m);
-  g_queue_push_tail (&u->waiting, w);
-  pump (u);
+  g_queue_push_tail (&u->queued, w);
+  run_queued (u);
 }
 
+/* Replaces the granted slices by SLICES, of [slice, epoch]. */
 static void
-take_slices (Upstream *u, JsonArray *slices)
+set_slices (Upstream *u, JsonArray *slices)
 {
   g_hash_table_remove_all (u->epochs);
   for (guint i = 0; i < json_array_get_length (slices); i++)
@@ -234,10 +254,10 @@
     }
 }
 
-/* How long a grant is honoured from now, us: its span, or to its end by the
- * wall clock if that is sooner. */
+/* Returns how long the grant O is valid from now, us: its duration, or the time
+ * to its expiry by the wall clock if that is shorter. */
 static gint64
-grant_life (JsonObject *o)
+grant_duration (JsonObject *o)
 {
   gint64 life = json_object_get_int_member (o, "ttl_ms") * CC_MS;
   gint64 left =
@@ -246,6 +266,7 @@
   return MIN (life, left);
 }
 
+/* Applies a grant, unless a later term was received (409). */
 static void
 on_grant (SoupServer *server, SoupServerMessage *m, const char *path,
           GHashTable *query, gpointer data)
@@ -266,23 +287,25 @@
       return;
     }
   u->term = term;
-  u->lapses = cc_clock_now () + grant_life (o);
-  take_slices (u, json_object_get_array_member (o, "slices"));
+  u->expires = cc_clock_now () + grant_duration (o);
+  set_slices (u, json_object_get_array_member (o, "slices"));
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", "{}");
 }
 
+/* Reports the load; none at all if that is set. */
 static void
 on_load (SoupServer *server, SoupServerMessage *m, const char *path,
          GHashTable *query, gpointer data)
 {
   Upstream *u = data;
-  g_autofree char *text =
-      g_strdup_printf ("{\"running\":%u,\"waiting\":%u}",
-                       u->lie ? 0 : u->running, u->lie ? 0 : u->waiting.length);
+  g_autofree char *text = g_strdup_printf (
+      "{\"running\":%u,\"waiting\":%u}", u->hides_load ? 0 : u->running,
+      u->hides_load ? 0 : u->queued.length);
 
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", text);
 }
 
+/* Sets FIELD to the parameter NAME of QUERY if it is present. */
 static void
 set_number (GHashTable *query, const char *name, guint *field)
 {
@@ -293,14 +316,14 @@
 }
 
 static void
-on_behave (SoupServer *server, SoupServerMessage *m, const char *path,
-           GHashTable *query, gpointer data)
+on_set_behaviour (SoupServer *server, SoupServerMessage *m, const char *path,
+                  GHashTable *query, gpointer data)
 {
   Upstream *u = data;
 
   set_number (query, "work_us", &u->work_us);
   set_number (query, "shed", (guint *) &u->shed);
-  set_number (query, "lie", (guint *) &u->lie);
+  set_number (query, "lie", (guint *) &u->hides_load);
   cc_http_answer (m, SOUP_STATUS_OK, "text/plain", "ok\n");
 }
 
@@ -309,13 +332,14 @@
 {
   CcSetting settings[] = {
     { CC_SETTING_STRING, "instance", NULL, "name of the server", 0, 0, NULL },
-    { CC_SETTING_STRING, "pool", NULL, "its pool", 0, 0, NULL },
+    { CC_SETTING_STRING, "pool", NULL, "pool of the server", 0, 0, NULL },
     { CC_SETTING_ADDRESS, "listen", NULL, "address", 0, 0, NULL },
-    { CC_SETTING_STRING, "records", NULL, "file of records", 0, 0, NULL },
-    { CC_SETTING_NUMBER, "work-us", "4000", "mean work", 0, 10000000, NULL },
+    { CC_SETTING_STRING, "records", NULL, "record file", 0, 0, NULL },
+    { CC_SETTING_NUMBER, "work-us", "4000", "mean work time", 0, 10000000,
+      NULL },
     { CC_SETTING_NUMBER, "checks", "1", "whether it checks grants", 0, 1,
       NULL },
-    { CC_SETTING_NUMBER, "slots", "4", "work at once", 1, 1000, NULL },
+    { CC_SETTING_NUMBER, "slots", "4", "requests run at once", 1, 1000, NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   Upstream u = { 0 };
@@ -323,21 +347,22 @@
   g_autofree char *message = NULL;
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
 
-  if (cc_settings_read (settings, "upstream", "Stand-in for a server.", argc,
+  if (cc_settings_read (settings, "upstream",
+                        "Simulated upstream server for tests.", argc,
                         argv) != CC_START_RUN)
     return 2;
   u.name = g_strdup (cc_setting (settings, "instance"));
   u.pool = g_strdup (cc_setting (settings, "pool"));
-  u.checks = cc_setting_number (settings, "checks") != 0;
+  u.checks_grants = cc_setting_number (settings, "checks") != 0;
   u.slots = (guint) cc_setting_number (settings, "slots");
   u.work_us = (guint) cc_setting_number (settings, "work-us");
   u.epochs = g_hash_table_new (NULL, NULL);
-  u.records = open (cc_setting (settings, "records"),
-                    O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+  u.record_file = open (cc_setting (settings, "records"),
+                        O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   server = soup_server_new (NULL, NULL);
   soup_server_add_handler (server, "/capercrank/grant", on_grant, &u, NULL);
   soup_server_add_handler (server, "/capercrank/load", on_load, &u, NULL);
-  soup_server_add_handler (server, "/test/behave", on_behave, &u, NULL);
+  soup_server_add_handler (server, "/test/behave", on_set_behaviour, &u, NULL);
   soup_server_add_handler (server, NULL, on_work, &u, NULL);
   if (!cc_http_listen (server, cc_setting (settings, "listen"), &message))
     {
