--- a/test/relay.c
+++ b/test/relay.c
@@ -91,7 +91,7 @@
 static GPtrArray *links;
 static GPtrArray *fronts;
 static GPtrArray *rules;
-static GHashTable *sources; /* IP to End */
+static GHashTable *sources; /* IP to Endpoint */
 
 static void watch_flow (Flow *f);
 
