--- a/test/bench_path.c
+++ b/test/bench_path.c
@@ -101,7 +101,7 @@
   for (guint i = 0; arguments[i] != NULL; i++)
     g_ptr_array_add (argv, (gpointer) arguments[i]);
   g_ptr_array_add (argv, NULL);
-  g_subprocess_launcher_set_child_setup (l, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   return g_subprocess_launcher_spawnv (l, (const char *const *) argv->pdata,
                                        NULL);
 }
--- a/test/gateway_process.c
+++ b/test/gateway_process.c
@@ -15,7 +15,7 @@
 /* To be called in a child: it ends when the test that started it does, also if
  * that one is killed or aborts. */
 void
-end_with_parent (gpointer unused)
+exit_with_parent (gpointer unused)
 {
   (void) unused;
   prctl (PR_SET_PDEATHSIG, SIGKILL);
@@ -53,7 +53,7 @@
   for (guint i = 0; more != NULL && more[i] != NULL; i += 2)
     set (l, more[i], more[i + 1]);
   g_subprocess_launcher_set_stdout_file_path (l, p->log);
-  g_subprocess_launcher_set_child_setup (l, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   process = g_subprocess_launcher_spawn (l, NULL, p->program, NULL);
   if (process == NULL)
     g_error ("can't start %s", p->program);
--- a/test/gateway_process.h
+++ b/test/gateway_process.h
@@ -21,7 +21,7 @@
   const char *log;   /* file for its standard output */
 } GatewayOptions;
 
-void end_with_parent (gpointer unused);
+void exit_with_parent (gpointer unused);
 GSubprocess *gateway_spawn (const GatewayOptions *p, const char *const *more);
 
 #endif
--- a/test/load.c
+++ b/test/load.c
@@ -594,9 +594,9 @@
   printf ("%s", details->str);
   printf ("audit: %u asked, %u lost, %u doubled, %u crossed, "
           "%u run twice owned\n",
-          a.asked, a.lost, a.doubled, a.crossed, a.twice_owned);
+          a.asked, a.lost, a.executed_twice, a.crossed, a.owner_conflicts);
   g_string_free (details, TRUE);
-  return a.lost + a.doubled + a.crossed + a.twice_owned > 0;
+  return a.lost + a.executed_twice + a.crossed + a.owner_conflicts > 0;
 }
 
 static gboolean
--- a/test/records.c
+++ b/test/records.c
@@ -176,7 +176,7 @@
     }
   if (t->once_only && possible > 1)
     {
-      a->doubled++;
+      a->executed_twice++;
       detail (b, "run twice", t->marker);
       tell_story (b, t);
     }
@@ -204,7 +204,7 @@
 
         if (!overlap && y->epoch >= x->epoch)
           continue;
-        a->twice_owned++;
+        a->owner_conflicts++;
         detail (b, overlap ? "two servers at once" : "older epoch later", key);
       }
 }
--- a/test/records.h
+++ b/test/records.h
@@ -17,10 +17,11 @@
 typedef struct
 {
   guint asked;
-  guint lost;    /* told run but not there, or told not-run but there */
-  guint doubled; /* once-only with two effects */
+  guint lost;           /* told run but not there, or told not-run but there */
+  guint executed_twice; /* once-only with two effects */
   guint crossed;
-  guint twice_owned; /* overlapping owners, or an older epoch after a newer */
+  guint
+      owner_conflicts; /* overlapping owners, or an older epoch after a newer */
 } Audit;
 
 Audit audit_records (const char *folder, GPtrArray *told, GString *details);
--- a/test/soak.c
+++ b/test/soak.c
@@ -191,7 +191,7 @@
   g_autofree char *map = g_build_filename (soak.folder, "map", NULL);
   g_autofree char *program = g_build_filename (soak.bin, "test/relay", NULL);
 
-  g_subprocess_launcher_set_child_setup (l, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   write_map (map);
   soak.control = address (0, 4, 7001);
   soak.relay = g_subprocess_launcher_spawn (l, NULL, program, "--control",
--- a/test/test_load.c
+++ b/test/test_load.c
@@ -63,7 +63,7 @@
       G_SUBPROCESS_FLAGS_STDOUT_SILENCE | G_SUBPROCESS_FLAGS_STDERR_SILENCE);
   g_autofree char *entries = g_strdup_printf ("%s:%u", ip, PORT);
 
-  g_subprocess_launcher_set_child_setup (l, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   return g_subprocess_launcher_spawn (l, NULL, program, "--entries", entries,
                                       "--deployment", file, "--records", folder,
                                       "--seconds", SECONDS, NULL);
