--- a/test/balancer.c
+++ b/test/balancer.c
@@ -1,15 +1,15 @@
-/* Asks each entry's /readyz now and then, as the platform's balancer does, and
- * leaves out those that say no.  Without a health port all count as ready. */
+/* Polls /readyz of each entry, as the platform's balancer does, and leaves out
+ * those that are not ready.  Without a health port all count as ready. */
 #include "balancer.h"
 
-#define PERIOD_MS 300
+#define CHECK_INTERVAL_MS 300
 
 struct Balancer
 {
   char **entries;
   gboolean *ready;
   guint count;
-  guint health_port; /* 0: entries are not asked */
+  guint health_port; /* 0: no health checks */
   SoupSession *session;
 };
 
@@ -18,12 +18,13 @@
   Balancer *balancer;
   guint entry;
   SoupMessage *message;
-} Check;
+} HealthCheck;
 
+/* An entry is ready if it responds with status 200. */
 static void
-on_checked (GObject *source, GAsyncResult *result, gpointer data)
+on_check_done (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Check *c = data;
+  HealthCheck *c = data;
   g_autoptr (GBytes) body =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, NULL);
 
@@ -33,8 +34,9 @@
   g_free (c);
 }
 
+/* Sends a health check to each entry. */
 static gboolean
-on_period (gpointer data)
+send_checks (gpointer data)
 {
   Balancer *b = data;
 
@@ -43,19 +45,19 @@
       g_auto (GStrv) parts = g_strsplit (b->entries[i], ":", 2);
       g_autofree char *url =
           g_strdup_printf ("http://%s:%u/readyz", parts[0], b->health_port);
-      Check *c = g_new0 (Check, 1);
+      HealthCheck *c = g_new0 (HealthCheck, 1);
 
       c->balancer = b;
       c->entry = i;
       c->message = soup_message_new ("GET", url);
       soup_session_send_and_read_async (
-          b->session, c->message, G_PRIORITY_DEFAULT, NULL, on_checked, c);
+          b->session, c->message, G_PRIORITY_DEFAULT, NULL, on_check_done, c);
     }
   return G_SOURCE_CONTINUE;
 }
 
-/* A balancer over ENTRIES (IP:PORT), asked for health at HEALTH_PORT unless
- * that is 0. */
+/* Returns a balancer over ENTRIES (IP:PORT), which must outlive it.  Their
+ * health is checked at HEALTH_PORT unless that is 0. */
 Balancer *
 balancer_new (char **entries, guint health_port, SoupSession *session)
 {
@@ -69,13 +71,14 @@
   for (guint i = 0; i < b->count; i++)
     b->ready[i] = TRUE;
   if (health_port != 0)
-    g_timeout_add (PERIOD_MS, on_period, b);
+    g_timeout_add (CHECK_INTERVAL_MS, send_checks, b);
   return b;
 }
 
-/* An entry that is ready, another than BUT (NULL: any) if there is one. */
+/* Returns a random entry that is ready and not EXCEPT (NULL: any), or any entry
+ * if there is none. */
 const char *
-balancer_pick (Balancer *b, GRand *rand, const char *but)
+balancer_pick (Balancer *b, GRand *rand, const char *except)
 {
   guint start = (guint) g_rand_int_range (rand, 0, (gint32) b->count);
 
@@ -83,7 +86,7 @@
     {
       guint k = (start + i) % b->count;
 
-      if (b->ready[k] && b->entries[k] != but)
+      if (b->ready[k] && b->entries[k] != except)
         return b->entries[k];
     }
   return b->entries[start];
--- a/test/balancer.h
+++ b/test/balancer.h
@@ -1,4 +1,5 @@
-/* The platform's balancer: spreads requests over the entries that are ready. */
+/* Simulates the platform's load balancer, which distributes requests over the
+ * ready entries. */
 #ifndef TEST_BALANCER_H
 #define TEST_BALANCER_H
 
@@ -8,6 +9,6 @@
 
 Balancer *balancer_new (char **entries, guint health_port,
                         SoupSession *session);
-const char *balancer_pick (Balancer *b, GRand *rand, const char *but);
+const char *balancer_pick (Balancer *b, GRand *rand, const char *except);
 
 #endif
--- a/test/free_net.c
+++ b/test/free_net.c
@@ -1,22 +1,24 @@
-/* Test programs that run at the same time must not meet: the number of a
- * process says little, since numbers come again within minutes. */
+/* Test programs that run at the same time must not share addresses.  A network
+ * derived from the process id alone is not unique, since ids are reused within
+ * minutes, so each network is locked by a listening socket. */
 #include "free_net.h"
 
 #include <gio/gio.h>
 #include <unistd.h>
 
-#define NET_FIRST 30
-#define NETS 200
+#define FIRST_NET 30
+#define NET_COUNT 200
 #define LOCK_PORT 6999
 
-/* N of a network 127.N.0.0/16 that no other test program has taken.  It is
- * held, by a socket at its first address, until this process ends. */
+/* Returns N of a network 127.N.0.0/16 that no other test program uses.  It is
+ * reserved, by a socket bound to its first address, until this process exits.
+ * Aborts if all networks are in use. */
 guint
 free_net (void)
 {
-  for (guint i = 0; i < NETS; i++)
+  for (guint i = 0; i < NET_COUNT; i++)
     {
-      guint net = NET_FIRST + ((guint) getpid () + i) % NETS;
+      guint net = FIRST_NET + ((guint) getpid () + i) % NET_COUNT;
       g_autofree char *ip = g_strdup_printf ("127.%u.0.1", net);
       g_autoptr (GSocketAddress) at =
           g_inet_socket_address_new_from_string (ip, LOCK_PORT);
@@ -27,5 +29,5 @@
         return net;
       g_object_unref (s);
     }
-  g_error ("all %u networks for tests are taken", NETS);
+  g_error ("all %u networks for tests are in use", NET_COUNT);
 }
--- a/test/free_net.h
+++ b/test/free_net.h
@@ -1,4 +1,4 @@
-/* A part of 127/8 for one test program's deployment. */
+/* Reserves a part of 127/8 for the deployment of one test program. */
 #ifndef TEST_FREE_NET_H
 #define TEST_FREE_NET_H
 
--- a/test/gateway_process.c
+++ b/test/gateway_process.c
@@ -1,19 +1,20 @@
-/* Settings go in by environment, as the platform gives them. */
+/* Settings are passed in environment variables, as the platform does. */
 #include "gateway_process.h"
 
 #include <signal.h>
 #include <sys/prctl.h>
 
+/* Sets the setting NAME in the environment of the process. */
 static void
-set (GSubprocessLauncher *l, const char *name, const char *value)
+set_setting (GSubprocessLauncher *l, const char *name, const char *value)
 {
-  g_autofree char *whole = g_strconcat ("CAPERCRANK_", name, NULL);
+  g_autofree char *variable = g_strconcat ("CAPERCRANK_", name, NULL);
 
-  g_subprocess_launcher_setenv (l, whole, value, TRUE);
+  g_subprocess_launcher_setenv (l, variable, value, TRUE);
 }
 
-/* To be called in a child: it ends when the test that started it does, also if
- * that one is killed or aborts. */
+/* Child setup function: the kernel kills the child when the test that started
+ * it exits, also if that is killed or aborts. */
 void
 exit_with_parent (gpointer unused)
 {
@@ -21,8 +22,9 @@
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* Starts a gateway as P says, with MORE settings, pairs of a name and a value
- * ended by NULL; MORE may be NULL. */
+/* Starts a gateway with the options P and MORE settings: pairs of a name and a
+ * value, terminated by NULL.  MORE may be NULL.  Aborts if the program can't be
+ * started. */
 GSubprocess *
 gateway_spawn (const GatewayOptions *p, const char *const *more)
 {
@@ -44,14 +46,14 @@
       g_autofree char *address =
           g_strdup_printf ("%s:%u", p->ip, ports[i].port);
 
-      set (l, ports[i].name, address);
+      set_setting (l, ports[i].name, address);
     }
-  set (l, "INSTANCE", p->instance);
-  set (l, "ZONE", p->zone);
-  set (l, "TABLE", p->table);
-  set (l, "STOP_GRACE", grace);
+  set_setting (l, "INSTANCE", p->instance);
+  set_setting (l, "ZONE", p->zone);
+  set_setting (l, "TABLE", p->table);
+  set_setting (l, "STOP_GRACE", grace);
   for (guint i = 0; more != NULL && more[i] != NULL; i += 2)
-    set (l, more[i], more[i + 1]);
+    set_setting (l, more[i], more[i + 1]);
   g_subprocess_launcher_set_stdout_file_path (l, p->log);
   g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   process = g_subprocess_launcher_spawn (l, NULL, p->program, NULL);
--- a/test/gateway_process.h
+++ b/test/gateway_process.h
@@ -1,10 +1,10 @@
-/* A real gateway, started as it is deployed. */
+/* Starts a real gateway process in the way that it is deployed. */
 #ifndef TEST_GATEWAY_PROCESS_H
 #define TEST_GATEWAY_PROCESS_H
 
 #include <gio/gio.h>
 
-/* Its ports, at its own IP. */
+/* Ports at the gateway's IP. */
 #define GATEWAY_LISTEN 7100
 #define GATEWAY_READINESS 7101
 #define GATEWAY_INTERNAL 7102
@@ -17,7 +17,7 @@
   const char *zone;
   const char *ip;
   const char *table; /* address of the table service */
-  guint grace;       /* from SIGTERM to the end, ms */
+  guint grace;       /* longest time from SIGTERM to the exit, ms */
   const char *log;   /* file for its standard output */
 } GatewayOptions;
 
--- a/test/records.h
+++ b/test/records.h
@@ -1,27 +1,31 @@
-/* The audit: what callers were told against what servers recorded. */
+/* Compares the outcomes that callers received with what servers recorded. */
 #ifndef TEST_RECORDS_H
 #define TEST_RECORDS_H
 
 #include "capercrank.h"
 
+/* All outcomes that were reported for one request and its repeats. */
 typedef struct
 {
-  char *marker; /* one caller's intent, also its Idempotency-Key */
+  char *marker; /* identifies the request; also its Idempotency-Key */
   gboolean once_only;
-  guint told[3];    /* answers by CcOutcome */
-  CcOutcome last;   /* the last of them */
-  gboolean crossed; /* an answer was somebody else's */
-  GString *answers; /* each with its entry, times and reason */
+  guint told[3];    /* number of responses by CcOutcome */
+  CcOutcome last;   /* outcome of the last response */
+  gboolean crossed; /* a response belonged to another request */
+  GString *answers; /* text: entry, times and reason of each response */
 } CallerOutcomes;
 
+/* Number of requests, and of violations of each kind. */
 typedef struct
 {
   guint asked;
-  guint lost;           /* told run but not there, or told not-run but there */
-  guint executed_twice; /* once-only with two effects */
-  guint crossed;
-  guint
-      owner_conflicts; /* overlapping owners, or an older epoch after a newer */
+  /* reported as run but not recorded, or as not-run but recorded */
+  guint lost;
+  guint executed_twice; /* once-only requests with two effects */
+  guint crossed;        /* requests with a response of another one */
+  /* two servers ran work for one key at a time, or for an older epoch after a
+   * newer one */
+  guint owner_conflicts;
 } Audit;
 
 Audit audit_records (const char *folder, GPtrArray *told, GString *details);
--- a/test/slopes.c
+++ b/test/slopes.c
@@ -1,6 +1,6 @@
-/* Least squares by the usual formula.  A time is the median of several rounds,
- * each long enough that the clock's step is below 0.1% of it: other work on
- * the machine lengthens some rounds, and the median ignores those. */
+/* Ordinary least squares.  A time is the median of several rounds, as other
+ * work on the machine lengthens some of them.  Each round is so long that the
+ * resolution of the clock is below 0.1% of it. */
 #include "slopes.h"
 
 #include <malloc.h>
@@ -8,9 +8,9 @@
 #include <stdlib.h>
 
 #define ROUNDS 7
-#define ROUND_US 4000 /* at least, for each round */
+#define ROUND_MIN_US 4000
 
-/* Adds a point; the caller keeps within POINTS_MAX. */
+/* Adds a point; aborts beyond POINTS_MAX. */
 void
 points_add (Points *p, double x, double y)
 {
@@ -30,8 +30,8 @@
   return sum / n;
 }
 
-/* The line with the least squares of distances in y.  Needs two points with
- * different x. */
+/* Returns the line with the least sum of squared distances in y.  Needs two
+ * points with different x. */
 Line
 points_fit (const Points *p)
 {
@@ -46,20 +46,21 @@
       yy += (p->y[i] - my) * (p->y[i] - my);
     }
   l.slope = xy / xx;
-  l.base = my - l.slope * mx;
+  l.intercept = my - l.slope * mx;
   l.r2 = yy > 0 ? xy * xy / (xx * yy) : 1;
   return l;
 }
 
-/* Prints a line of the table: the fit, then all points. */
+/* Prints a table line for LABEL: the fit in UNIT for each PER, then all points.
+ */
 void
-points_print (const Points *p, const char *what, const char *unit,
+points_print (const Points *p, const char *label, const char *unit,
               const char *per)
 {
   Line l = points_fit (p);
 
-  printf ("%-34s %11.4g + %10.4g %s for each %s, r2 %.3f  [", what, l.base,
-          l.slope, unit, per, l.r2);
+  printf ("%-34s %11.4g + %10.4g %s for each %s, r2 %.3f  [", label,
+          l.intercept, l.slope, unit, per, l.r2);
   for (guint i = 0; i < p->n; i++)
     printf ("%s%g:%.4g", i > 0 ? " " : "", p->x[i], p->y[i]);
   printf ("]\n");
@@ -74,6 +75,7 @@
   return (x > y) - (x < y);
 }
 
+/* Returns the duration of TIMES executions of WORK, us. */
 static double
 time_round (TimedWork work, gpointer data, guint times)
 {
@@ -84,14 +86,14 @@
   return (double) (g_get_monotonic_time () - start);
 }
 
-/* Microseconds that WORK takes once. */
+/* Returns the duration of one execution of WORK, us. */
 double
-time_of (TimedWork work, gpointer data)
+median_time_us (TimedWork work, gpointer data)
 {
   double rounds[ROUNDS];
   guint times = 1;
 
-  while (time_round (work, data, times) < ROUND_US)
+  while (time_round (work, data, times) < ROUND_MIN_US)
     times *= 2;
   for (guint i = 0; i < ROUNDS; i++)
     rounds[i] = time_round (work, data, times) / times;
@@ -99,9 +101,9 @@
   return rounds[ROUNDS / 2];
 }
 
-/* Bytes that are allocated at the moment. */
+/* Returns the number of bytes allocated on the heap. */
 double
-heap_used (void)
+heap_bytes_used (void)
 {
   struct mallinfo2 m = mallinfo2 ();
 
--- a/test/slopes.h
+++ b/test/slopes.h
@@ -1,4 +1,4 @@
-/* Points of a measurement, and the straight line through them. */
+/* Measures time and memory, and fits a straight line to the results. */
 #ifndef TEST_SLOPES_H
 #define TEST_SLOPES_H
 
@@ -8,26 +8,26 @@
 
 typedef struct
 {
-  double x[POINTS_MAX]; /* what was varied */
-  double y[POINTS_MAX]; /* what was measured */
+  double x[POINTS_MAX]; /* the independent variable */
+  double y[POINTS_MAX]; /* the measurements */
   guint n;
 } Points;
 
 typedef struct
 {
-  double base;  /* y at x = 0 */
-  double slope; /* y for one more x */
-  double r2;    /* share of y's variance that the line explains, 0 to 1 */
+  double intercept; /* y at x = 0 */
+  double slope;     /* increase of y per unit of x */
+  double r2;        /* coefficient of determination, 0 to 1 */
 } Line;
 
-/* Does the work to be timed once. */
+/* Executes the work to be timed once. */
 typedef void (*TimedWork) (gpointer data);
 
 void points_add (Points *p, double x, double y);
 Line points_fit (const Points *p);
-void points_print (const Points *p, const char *what, const char *unit,
+void points_print (const Points *p, const char *label, const char *unit,
                    const char *per);
-double time_of (TimedWork work, gpointer data);
-double heap_used (void);
+double median_time_us (TimedWork work, gpointer data);
+double heap_bytes_used (void);
 
 #endif
