--- a/test/platform.c
+++ b/test/platform.c
@@ -174,17 +174,19 @@
   char *instances;
 } PendingInstances;
 
+/* Serves a new instance list from now on. */
 static gboolean
 on_lag_over (gpointer data)
 {
-  PendingInstances *l = data;
+  PendingInstances *pending = data;
 
-  g_free (l->platform->instances);
-  l->platform->instances = l->instances;
-  g_free (l);
+  g_free (pending->platform->instances);
+  pending->platform->instances = pending->instances;
+  g_free (pending);
   return G_SOURCE_REMOVE;
 }
 
+/* Responds with the instance list. */
 static void
 on_instances (SoupServer *server, SoupServerMessage *m, const char *path,
               GHashTable *query, gpointer data)
@@ -203,12 +205,12 @@
   Platform *p = data;
   g_autoptr (GBytes) body =
       soup_message_body_flatten (soup_server_message_get_request_body (m));
-  PendingInstances *l = g_new0 (PendingInstances, 1);
+  PendingInstances *pending = g_new0 (PendingInstances, 1);
 
-  l->platform = p;
-  l->instances =
+  pending->platform = p;
+  pending->instances =
       g_strndup (g_bytes_get_data (body, NULL), g_bytes_get_size (body));
-  g_timeout_add (p->lag_ms, on_lag_over, l);
+  g_timeout_add (p->lag_ms, on_lag_over, pending);
   cc_http_answer (m, SOUP_STATUS_OK, "application/json", "{}");
 }
 
@@ -228,6 +230,7 @@
   cc_http_answer (m, SOUP_STATUS_OK, "text/plain", "ok\n");
 }
 
+/* Responds with the counts of requests and the newest version. */
 static void
 on_stats (SoupServer *server, SoupServerMessage *m, const char *path,
           GHashTable *query, gpointer data)
--- a/test/records.c
+++ b/test/records.c
@@ -196,6 +196,7 @@
   a->crossed += t->crossed ? 1 : 0;
 }
 
+/* Orders runs by their end. */
 static gint
 compare_ended (gconstpointer a, gconstpointer b)
 {
--- a/test/relay.c
+++ b/test/relay.c
@@ -209,6 +209,7 @@
   return TRUE;
 }
 
+/* Sends a chunk whose delay is over. */
 static gboolean
 on_delay_over (gpointer data)
 {
@@ -345,6 +346,7 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Parses IP:PORT, which must be valid. */
 static GSocketAddress *
 parse_address (const char *text)
 {
@@ -403,6 +405,7 @@
     }
 }
 
+/* Responds to M with N. */
 static void
 answer_count (SoupServerMessage *m, guint n)
 {
@@ -530,6 +533,7 @@
   answer_count (m, n);
 }
 
+/* Lists the bytes passed by each front. */
 static void
 on_traffic (SoupServer *server, SoupServerMessage *m, const char *path,
             GHashTable *query, gpointer data)
--- a/test/slopes.c
+++ b/test/slopes.c
@@ -20,6 +20,7 @@
   p->n++;
 }
 
+/* Returns the arithmetic mean of N VALUES. */
 static double
 mean (const double *values, guint n)
 {
@@ -67,6 +68,7 @@
   fflush (stdout);
 }
 
+/* Orders doubles for qsort. */
 static int
 compare (const void *a, const void *b)
 {
--- a/test/soak.c
+++ b/test/soak.c
@@ -589,6 +589,7 @@
   return end;
 }
 
+/* Changes the configuration. */
 static gboolean
 on_change (gpointer unused)
 {
@@ -613,6 +614,7 @@
 
 /* ---- the run ---- */
 
+/* Ends run_for. */
 static gboolean
 on_run_over (gpointer loop)
 {
--- a/test/soak_audit.c
+++ b/test/soak_audit.c
@@ -43,6 +43,7 @@
 static guint responses[6]; /* by hundreds of the status; 0: no response */
 static guint refused, wrong_answers, owner_faults;
 
+/* Returns the time since the first call, s. */
 static double
 elapsed (void)
 {
@@ -51,6 +52,7 @@
   return (double) (cc_clock_now () - start_time) / 1e6;
 }
 
+/* Prints a line of the log: the time in the run, HEAD and the text. */
 static void
 print_line (const char *head, const char *format, va_list list)
 {
--- a/test/soak_config.c
+++ b/test/soak_config.c
@@ -21,9 +21,9 @@
 #define ROUTES (HOSTS * PREFIXES + FIXED_ROUTES)
 #define BLOCKS 3
 #define BLOCK_ROUTES 1200
-/* A row that gateways must not apply stays for this time and is only
- * written INVALID_AFTER an applicable one, when all connected gateways have
- * applied that. */
+/* A row that gateways must not apply stays for a random time between these and
+ * is only written INVALID_AFTER an applicable one, when all connected gateways
+ * have applied that. */
 #define INVALID_MIN_MS 100
 #define INVALID_MAX_MS 800
 #define INVALID_AFTER (3000 * CC_MS)
@@ -105,6 +105,7 @@
   return &g_array_index (entries, Entry, i);
 }
 
+/* Returns the host of ROUTE. */
 static const char *
 host_of (guint route)
 {
@@ -112,6 +113,7 @@
                               : hosts[(route - FIXED_ROUTES) / PREFIXES];
 }
 
+/* Returns the path prefix of ROUTE. */
 static const char *
 prefix_of (guint route)
 {
--- a/test/soak_probe.c
+++ b/test/soak_probe.c
@@ -110,7 +110,8 @@
 /* Counts and logs a response to P that exceeds its timeout, unless a fault of
  * the gateway or its callers may have caused that. */
 static void
-check_time (const char *id, const Probe *p, const SoakAllowed *a, guint status)
+check_duration (const char *id, const Probe *p, const SoakAllowed *a,
+                guint status)
 {
   gint64 excess = cc_clock_now () - p->sent - (gint64) a->timeout * CC_MS;
 
@@ -135,7 +136,7 @@
   SoakAllowed a;
   guint oldest = query_allowed (p, &a);
 
-  check_time (id, p, &a, status);
+  check_duration (id, p, &a, status);
   if (!is_refusal (status))
     return;
   if (a.always || status != 404)
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -29,7 +29,7 @@
   char *id;
   gint32 key; /* -1: none */
   gint64 deadline;
-  guint source; /* timer for the end of its work; 0: waits for a slot */
+  guint timer; /* ends its work; 0: waits for a slot */
 } Job;
 
 /* A release of keys that waits for the work on them to end. */
@@ -55,7 +55,7 @@
   guint heartbeats_sent; /* number of rows written */
   gboolean draining;
   SoakServerMode mode;
-  guint heartbeat_timer, exit_timer; /* sources */
+  guint heartbeat_timer, exit_timer; /* 0: none */
   GPtrArray *jobs;                   /* of Job, in order of arrival */
   GPtrArray *releases;               /* of Release */
   gint64 until[SOAK_KEYS];           /* end of the grant of each key, us */
@@ -108,6 +108,7 @@
   soak_table_put ("servers", s->id, value);
 }
 
+/* Renews the row of a server. */
 static gboolean
 on_heartbeat (gpointer data)
 {
@@ -115,10 +116,11 @@
   return G_SOURCE_CONTINUE;
 }
 
+/* Whether J has a slot. */
 static gboolean
 is_running (const Job *j)
 {
-  return j->source != 0;
+  return j->timer != 0;
 }
 
 /* Returns the number of jobs that run. */
@@ -167,6 +169,7 @@
   cc_http_answer (m, 500, "text/plain", "");
 }
 
+/* Removes J from its server and frees it; the response must be set. */
 static void
 job_free (Job *j)
 {
@@ -273,7 +276,7 @@
     on_run (j->id, s->pool, target);
   if (s->mode == SOAK_SERVER_SLOW)
     work_ms *= SLOW_FACTOR;
-  j->source = g_timeout_add (work_ms, on_work_done, j);
+  j->timer = g_timeout_add (work_ms, on_work_done, j);
 }
 
 /* Starts queued jobs while slots are free.  Rejects those whose key has been
@@ -510,7 +513,7 @@
       Job *j = s->jobs->pdata[0];
 
       if (is_running (j))
-        g_source_remove (j->source);
+        g_source_remove (j->timer);
       close_connection (j->message);
       soup_server_message_unpause (j->message);
       job_free (j);
@@ -540,12 +543,12 @@
 static gboolean
 on_row_expired (gpointer data)
 {
-  StaleRow *l = data;
+  StaleRow *row = data;
 
-  if (l->server->http == NULL || !g_str_equal (l->server->id, l->id))
-    soak_table_delete ("servers", l->id);
-  g_free (l->id);
-  g_free (l);
+  if (row->server->http == NULL || !g_str_equal (row->server->id, row->id))
+    soak_table_delete ("servers", row->id);
+  g_free (row->id);
+  g_free (row);
   return G_SOURCE_REMOVE;
 }
 
@@ -553,11 +556,11 @@
 static void
 expire_row_after (SoakServer *s, guint ms)
 {
-  StaleRow *l = g_new0 (StaleRow, 1);
+  StaleRow *row = g_new0 (StaleRow, 1);
 
-  l->server = s;
-  l->id = g_strdup (s->id);
-  g_timeout_add (ms, on_row_expired, l);
+  row->server = s;
+  row->id = g_strdup (s->id);
+  g_timeout_add (ms, on_row_expired, row);
 }
 
 /* Terminates S without notice.  Its row expires after three heartbeats unless
@@ -571,6 +574,7 @@
   shut_down (s);
 }
 
+/* Ends a drained server, and deletes its row at once. */
 static gboolean
 on_drained (gpointer data)
 {
@@ -601,6 +605,7 @@
   s->mode = mode;
 }
 
+/* Whether S runs; a draining server does. */
 gboolean
 soak_server_is_up (const SoakServer *s)
 {
--- a/test/soak_table.c
+++ b/test/soak_table.c
@@ -43,12 +43,14 @@
   return strcmp (a, b);
 }
 
+/* Returns the key of a row in the tree. */
 static char *
 row_id (const char *table, const char *key)
 {
   return g_strconcat (table, "/", key, NULL);
 }
 
+/* Returns the row KEY of TABLE, also if it is deleted, or NULL. */
 static Row *
 find_row (const char *table, const char *key)
 {
@@ -146,6 +148,7 @@
   g_free (f);
 }
 
+/* Ends a feed request without changes. */
 static gboolean
 on_feed_timeout (gpointer data)
 {
@@ -170,6 +173,7 @@
     }
 }
 
+/* Returns the string member NAME of O, or "" if it is missing. */
 static const char *
 string_member (JsonObject *o, const char *name)
 {
@@ -274,6 +278,7 @@
     close_connection (m);
 }
 
+/* Responds with the rows of a table from the key "from" on. */
 static void
 on_get (SoupServerMessage *m, GHashTable *query)
 {
--- a/test/soak_watch.c
+++ b/test/soak_watch.c
@@ -17,8 +17,8 @@
 
 #define APPLY_WITHIN (2000 * CC_MS)
 #define STABLE_FOR (3000 * CC_MS)
-#define POLL_MS 100
-#define POLL_WITHIN (1000 * CC_MS)
+#define POLL_INTERVAL_MS 100
+#define POLL_TIMEOUT (1000 * CC_MS)
 #define GATEWAYS_MAX 8
 /* A process that waited so long for a CPU between two polls counts as paused
  * for that time. */
@@ -38,12 +38,13 @@
   FaultState faults;
   FaultState callers; /* faults of its link to callers */
   guint run;
-  char *schedule;  /* its schedstat file, with the time it waited for a CPU */
-  gint64 cpu_wait; /* that time at the last poll, us */
-  gboolean polled; /* a request for its metrics is in flight */
-  guint applied;   /* the entry that this run has applied at least */
-  guint version;   /* in its last response; 0: none */
-  gint64 version_since; /* when that version was first reported, us */
+  char *schedstat_path; /* its schedstat file, with the time it waited for a CPU
+                         */
+  gint64 cpu_wait;      /* that time at the last poll, us */
+  gboolean poll_pending; /* a request for its metrics is in flight */
+  guint applied;         /* the entry that this run has applied at least */
+  guint version;         /* in its last response; 0: none */
+  gint64 version_since;  /* when that version was first reported, us */
   guint reported; /* last entry that was reported as overdue, or NO_ENTRY */
   gint64 slowest; /* longest time to apply an entry while connected, us */
   guint slowest_entry;
@@ -59,7 +60,7 @@
 static Watched watched[GATEWAYS_MAX];
 static guint gateway_count;
 static FaultState table_faults;
-static guint starved;
+static guint starved_count;
 static CcHttp *http;
 static guint timer;
 
@@ -95,7 +96,7 @@
 
 /* Returns the entry that W must have now, or NO_ENTRY. */
 static guint
-due (const Watched *w)
+due_entry (const Watched *w)
 {
   gint64 now = cc_clock_now (), from = fault_free_since (w);
 
@@ -130,7 +131,7 @@
 soak_watch_oldest_entry (guint gateway)
 {
   const Watched *w = &watched[gateway];
-  guint least = due (w);
+  guint least = due_entry (w);
 
   return least == NO_ENTRY ? w->applied : MAX (least, w->applied);
 }
@@ -186,8 +187,8 @@
 {
   Watched *w = &watched[gateway];
 
-  g_free (w->schedule);
-  w->schedule = g_strdup_printf ("/proc/%s/schedstat", pid);
+  g_free (w->schedstat_path);
+  w->schedstat_path = g_strdup_printf ("/proc/%s/schedstat", pid);
   w->cpu_wait = 0;
   w->run++;
   w->applied = w->version = 0;
@@ -267,7 +268,7 @@
   g_autofree Poll *p = data;
   Watched *w = &watched[p->gateway];
 
-  w->polled = FALSE;
+  w->poll_pending = FALSE;
   if (r->end != CC_HTTP_ANSWERED || p->run != w->run)
     return;
   g_autofree char *text =
@@ -287,7 +288,7 @@
   gint64 waited, before = w->cpu_wait;
   char *end;
 
-  if (!g_file_get_contents (w->schedule, &text, NULL, NULL))
+  if (!g_file_get_contents (w->schedstat_path, &text, NULL, NULL))
     return FALSE;
   (void) g_ascii_strtoll (text, &end, 10); /* CPU time, ns */
   waited = g_ascii_strtoll (end, NULL, 10) / 1000;
@@ -306,7 +307,7 @@
         soak_watch_brief_fault (i);
         soak_watch_caller_fault (i, TRUE);
         soak_watch_caller_fault (i, FALSE);
-        starved++;
+        starved_count++;
         soak_audit_log ("gw%u waited for a CPU", i + 1);
       }
 }
@@ -315,7 +316,7 @@
 guint
 soak_watch_starved (void)
 {
-  return starved;
+  return starved_count;
 }
 
 /* Requests the metrics of each gateway that has no request in flight. */
@@ -329,20 +330,20 @@
       Watched *w = &watched[i];
       CcHttpOrder o = { .address = w->admin,
                         .head = "GET /metrics HTTP/1.1\r\nHost: admin\r\n",
-                        .connect_within = POLL_WITHIN,
-                        .answer_within = POLL_WITHIN };
+                        .connect_within = POLL_TIMEOUT,
+                        .answer_within = POLL_TIMEOUT };
       Poll *p;
 
-      if (w->run == 0 || w->polled)
+      if (w->run == 0 || w->poll_pending)
         continue;
       p = g_new0 (Poll, 1);
       p->gateway = i;
       p->run = w->run;
-      p->due = due (w);
-      w->polled = TRUE;
+      p->due = due_entry (w);
+      w->poll_pending = TRUE;
       if (cc_http_send (http, &o, on_metrics, p) == NULL)
         {
-          w->polled = FALSE;
+          w->poll_pending = FALSE;
           g_free (p);
         }
     }
@@ -359,7 +360,7 @@
        admin[gateway_count] != NULL && gateway_count < GATEWAYS_MAX;
        gateway_count++)
     watched[gateway_count].admin = admin[gateway_count];
-  timer = g_timeout_add (POLL_MS, on_poll, NULL);
+  timer = g_timeout_add (POLL_INTERVAL_MS, on_poll, NULL);
 }
 
 /* Stops polling. */
--- a/test/test_soak_audit.c
+++ b/test/test_soak_audit.c
@@ -13,6 +13,7 @@
 
 #define HOLD_US (10 * CC_SECOND)
 
+/* A once-only request that runs twice violates a guarantee. */
 static void
 run_once_only_twice (void)
 {
@@ -21,6 +22,7 @@
   soak_audit_started ("twice", "free", "s2");
 }
 
+/* An idempotent request may run twice. */
 static void
 repeat_idempotent (void)
 {
@@ -30,6 +32,7 @@
   soak_audit_answered ("repeated", 200, "done repeated");
 }
 
+/* A request that ran must not be refused. */
 static void
 refuse_after_run (void)
 {
@@ -38,6 +41,7 @@
   soak_audit_answered ("ran", 503, "");
 }
 
+/* A refused request must not run later. */
 static void
 run_after_refusal (void)
 {
@@ -46,6 +50,7 @@
   soak_audit_started ("later", "free", "s1");
 }
 
+/* A caller must not get the response to another request. */
 static void
 answer_another_request (void)
 {
@@ -54,6 +59,7 @@
   soak_audit_answered ("mine", 200, "done yours");
 }
 
+/* Key 9 is granted to a second server while the first holds it. */
 static void
 grant_held_key (void)
 {
@@ -63,6 +69,7 @@
   soak_audit_granted (9, 12, "s2.1", 2, until);
 }
 
+/* Keys may be granted again once they are released. */
 static void
 grant_released_key (void)
 {
@@ -90,6 +97,7 @@
   { "a key is granted that was released", grant_released_key, { 0 } },
 };
 
+/* Each case raises exactly the counts that it names. */
 static void
 the_audit_finds_what_is_broken (void **state)
 {
@@ -116,6 +124,7 @@
     }
 }
 
+/* Keys and owners are counted until their grants end with the server. */
 static void
 owners_are_counted (void **state)
 {
--- a/test/upstream.c
+++ b/test/upstream.c
@@ -197,6 +197,7 @@
     start_work (u, g_queue_pop_head (&u->queued));
 }
 
+/* Marks work whose caller has disconnected, so that it is not started. */
 static void
 on_disconnected (SoupServerMessage *m, gpointer data)
 {
@@ -315,6 +316,7 @@
     *field = (guint) g_ascii_strtoull (text, NULL, 10);
 }
 
+/* Sets the behaviours given in the query. */
 static void
 on_set_behaviour (SoupServer *server, SoupServerMessage *m, const char *path,
                   GHashTable *query, gpointer data)
