--- a/test/soak.c
+++ b/test/soak.c
@@ -31,7 +31,7 @@
 
 #define GATEWAYS 3
 #define SERVERS 9
-/* Of the servers, so many are in the pool whose servers own keys. */
+/* Number of servers in the pool whose servers own keys. */
 #define KEYED_SERVERS 5
 #define REQUESTS_PER_S 70
 #define STOP_GRACE_MS 3000
@@ -44,8 +44,8 @@
 #define MEASUREMENTS_MAX 5
 /* Callers close connections that were idle for longer. */
 #define IDLE_CONNECTION_MS 6000
-/* Configurations go on changing for so long, so that gateways recover under
- * change. */
+/* Configurations go on changing for this time after the last fault, so that
+ * gateways recover while they change. */
 #define CHANGES_AFTER_FAULTS_MS 8000
 #define SERVED_SHARE_MIN 0.95
 /* The retry budget: ratio of repeats to requests, repeats allowed on top, and
@@ -314,7 +314,7 @@
   return g_str_equal (f->a, name) || g_str_equal (f->b, name);
 }
 
-/* Ends the fault of a silenced link to callers. */
+/* Ends the fault of a blackholed link to callers. */
 static gboolean
 on_idle_connections_closed (gpointer gateway)
 {
@@ -562,9 +562,8 @@
 }
 
 /* Schedules the faults drawn from SEED, which start within FOR_MS after
- * FROM_MS at exponentially distributed intervals of 600 ms
- * on average.  Returns when the last of
- * them ends, ms. */
+ * FROM_MS at exponentially distributed intervals of 600 ms on average.  Returns
+ * when the last of them ends, ms. */
 static guint
 plan_faults (guint seed, guint from_ms, guint for_ms)
 {
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -214,7 +214,7 @@
     }
 }
 
-/* In the modes that spoil responses, gives half of the jobs that ran no
+/* In the modes that affect responses, gives half of the jobs that ran no
  * response or that of another request.  Returns FALSE if J must get its own. */
 static gboolean
 respond_wrongly (Job *j)
@@ -339,7 +339,7 @@
 typedef struct
 {
   SoakServer *server;
-  char *incarnation; /* incarnation of the server when the request came */
+  char *incarnation; /* of the server when the request arrived */
   guint from, to;
   guint64 fence;
   gint64 until; /* us */
@@ -586,8 +586,7 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Makes S announce that it leaves.  It goes on serving for DRAIN_MS and exits.
- */
+/* Lists S as draining.  It goes on serving for DRAIN_MS and exits. */
 void
 soak_server_drain (SoakServer *s)
 {
--- a/test/soak_watch.c
+++ b/test/soak_watch.c
@@ -279,8 +279,7 @@
                  p->due);
 }
 
-/* Whether W waited for a CPU for longer than STARVED_MIN since the last poll.
- */
+/* Whether W waited for a CPU longer than STARVED_MIN since the last poll. */
 static gboolean
 was_starved (Watched *w)
 {
@@ -296,8 +295,8 @@
   return waited - before > STARVED_MIN;
 }
 
-/* Counts a starved gateway as one that had a brief fault: its delays are the
- * machine's. */
+/* Records a brief fault for each starved gateway, as the machine and not the
+ * gateway causes its delays. */
 static void
 check_starvation (void)
 {
