--- a/test/bench_path.c
+++ b/test/bench_path.c
@@ -101,7 +101,7 @@
   for (guint i = 0; arguments[i] != NULL; i++)
     g_ptr_array_add (argv, (gpointer) arguments[i]);
   g_ptr_array_add (argv, NULL);
-  g_subprocess_launcher_set_child_setup (l, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (l, exit_with_parent, NULL, NULL);
   return g_subprocess_launcher_spawnv (l, (const char *const *) argv->pdata,
                                        NULL);
 }
@@ -127,13 +127,13 @@
   const char *stand[] = { "--table",   table,   "--net", number,
                           "--servers", servers, NULL };
   const char *relay[] = { "--listen", bare, "--to", server, NULL };
-  GatewayPlace place = { .program = program,
-                         .instance = "i1",
-                         .zone = "a",
-                         .ip = ip,
-                         .table = table,
-                         .grace = 500,
-                         .log = "/dev/null" };
+  GatewayOptions place = { .program = program,
+                           .instance = "i1",
+                           .zone = "a",
+                           .ip = ip,
+                           .table = table,
+                           .grace = 500,
+                           .log = "/dev/null" };
   GSubprocess *all[] = { start (bin, "direct_stand", stand),
                          start (bin, "bare_relay", relay),
                          gateway_spawn (&place, NULL) };
--- a/test/load.c
+++ b/test/load.c
@@ -92,7 +92,7 @@
 typedef struct
 {
   Load *load;
-  Told *told;
+  CallerOutcomes *told;
   Tally *tally;
   const Pattern *pattern;
   char *key;
@@ -351,10 +351,10 @@
 }
 
 /* What is told of one request that L sends. */
-static Told *
+static CallerOutcomes *
 told_new (Load *l, const CcClass *class)
 {
-  Told *t = g_new0 (Told, 1);
+  CallerOutcomes *t = g_new0 (CallerOutcomes, 1);
 
   t->marker = uuid_v7 (l->rand);
   t->once_only = class->once_only;
@@ -579,7 +579,7 @@
   guint n = 0;
 
   for (guint i = 0; i < l->told->len; i++)
-    n += ((const Told *) l->told->pdata[i])->told[CC_OUTCOME_UNKNOWN];
+    n += ((const CallerOutcomes *) l->told->pdata[i])->told[CC_OUTCOME_UNKNOWN];
   if (l->calm && n > 0)
     printf ("%u answers are unknown, none may be\n", n);
   return n;
@@ -594,9 +594,9 @@
   printf ("%s", details->str);
   printf ("audit: %u asked, %u lost, %u doubled, %u crossed, "
           "%u run twice owned\n",
-          a.asked, a.lost, a.doubled, a.crossed, a.twice_owned);
+          a.asked, a.lost, a.executed_twice, a.crossed, a.owner_conflicts);
   g_string_free (details, TRUE);
-  return a.lost + a.doubled + a.crossed + a.twice_owned > 0;
+  return a.lost + a.executed_twice + a.crossed + a.owner_conflicts > 0;
 }
 
 static gboolean
