--- a/test/demo.c
+++ b/test/demo.c
@@ -292,7 +292,7 @@
 {
   demo.second++;
   print_second ();
-  demo_fleet_look ();
+  demo_fleet_poll ();
   demo_fleet_balance (demo.callers.gateways);
   if (demo.second < SECONDS)
     {
@@ -309,7 +309,7 @@
 {
   gint64 took = cc_clock_now () - demo.began;
 
-  demo_fleet_look ();
+  demo_fleet_poll ();
   if (demo_fleet_is_ready ())
     {
       printf ("ready after %.1f s; gateway %s grants the keys\n\n",
--- a/test/demo_fleet.c
+++ b/test/demo_fleet.c
@@ -143,7 +143,7 @@
 
 /* Asks all gateways how they are. */
 void
-demo_fleet_look (void)
+demo_fleet_poll (void)
 {
   for (guint i = 0; i < DEMO_GATEWAYS; i++)
     {
--- a/test/demo_fleet.h
+++ b/test/demo_fleet.h
@@ -17,7 +17,7 @@
 void demo_fleet_balance (char **list);
 void demo_fleet_get (const char *address, const char *head, DemoAnswered done,
                      gpointer data);
-void demo_fleet_look (void);
+void demo_fleet_poll (void);
 gboolean demo_fleet_is_ready (void);
 const char *demo_fleet_granter (void);
 const char *demo_fleet_callers_ip (void);
--- a/test/harness.c
+++ b/test/harness.c
@@ -332,7 +332,7 @@
 }
 
 /* Starts all of DEPLOYMENT (a file), programs taken from BIN, and submits its
- * document.  If RELAYED, every link can be cut by cluster_relay. */
+ * document.  If RELAYED, every link can be cut by cluster_set_relay_rule. */
 Cluster *
 cluster_start (const char *bin, const char *deployment, gboolean relayed)
 {
@@ -374,7 +374,8 @@
  * zone, "platform", "instance-3", or a process ("*": any).  Returns how many
  * open connections, or rules, it touched. */
 guint
-cluster_relay (Cluster *c, const char *verb, const char *a, const char *b)
+cluster_set_relay_rule (Cluster *c, const char *verb, const char *a,
+                        const char *b)
 {
   g_autofree char *url = g_strdup_printf ("http://127.%u.0.3:%u/%s?a=%s&b=%s",
                                           c->net, RELAY_PORT, verb, a, b);
@@ -386,7 +387,7 @@
 
 /* Sets the platform's fault: "up", "down", "slow" or "lose". */
 void
-cluster_platform (Cluster *c, const char *mode, guint ms)
+cluster_set_platform_fault (Cluster *c, const char *mode, guint ms)
 {
   g_autofree char *url =
       g_strdup_printf ("http://127.%u.0.2:%u/test/fault?mode=%s&ms=%u", c->net,
@@ -399,7 +400,7 @@
  * "live", "leaving", "gone".
  */
 void
-cluster_list (Cluster *c, const char *server, const char *state)
+cluster_set_state (Cluster *c, const char *server, const char *state)
 {
   g_hash_table_insert (c->states, g_strdup (server), g_strdup (state));
   publish_servers (c);
@@ -407,7 +408,7 @@
 
 /* Changes how a server behaves, "work_us=50000" or "shed=1". */
 void
-cluster_behave (Cluster *c, const char *server, const char *query)
+cluster_set_server_behaviour (Cluster *c, const char *server, const char *query)
 {
   Process *p = cluster_find (c, server);
   g_autofree char *url = g_strdup_printf ("http://%s:%u/test/behave?%s", p->ip,
@@ -514,7 +515,7 @@
 
 /* Waits until NAME has ended by itself.  Returns FALSE after SECONDS. */
 gboolean
-cluster_wait_end (Cluster *c, const char *name, guint seconds)
+cluster_wait_exit (Cluster *c, const char *name, guint seconds)
 {
   Process *p = cluster_find (c, name);
 
--- a/test/harness.h
+++ b/test/harness.h
@@ -29,18 +29,19 @@
 
 Cluster *cluster_start (const char *bin, const char *deployment,
                         gboolean relayed);
-guint cluster_relay (Cluster *c, const char *verb, const char *a,
-                     const char *b);
-void cluster_platform (Cluster *c, const char *mode, guint ms);
-void cluster_list (Cluster *c, const char *server, const char *state);
-void cluster_behave (Cluster *c, const char *server, const char *query);
+guint cluster_set_relay_rule (Cluster *c, const char *verb, const char *a,
+                              const char *b);
+void cluster_set_platform_fault (Cluster *c, const char *mode, guint ms);
+void cluster_set_state (Cluster *c, const char *server, const char *state);
+void cluster_set_server_behaviour (Cluster *c, const char *server,
+                                   const char *query);
 int cluster_load (Cluster *c, guint seconds, guint percent, guint repeats,
                   guint seed);
 gboolean cluster_wait_ready (Cluster *c, guint seconds);
 void cluster_stop (Cluster *c);
 Process *cluster_find (Cluster *c, const char *name);
 void cluster_signal (Cluster *c, const char *name, int signal);
-gboolean cluster_wait_end (Cluster *c, const char *name, guint seconds);
+gboolean cluster_wait_exit (Cluster *c, const char *name, guint seconds);
 void cluster_restart (Cluster *c, const char *name);
 char *cluster_entries (const Cluster *c);
 char *cluster_admin (const Cluster *c, const char *program, guint instance);
--- a/test/prove.c
+++ b/test/prove.c
@@ -26,7 +26,7 @@
 static void
 set_load_options (const Scenario *s)
 {
-  gboolean calm = g_strv_contains (calm_scenarios, s->name);
+  gboolean calm = g_strv_contains (no_unknown_scenarios, s->name);
 
   g_setenv ("CAPERCRANK_TWINS", TWINS_PERCENT, TRUE);
   g_setenv ("CAPERCRANK_CALM", calm ? "1" : "0", TRUE);
--- a/test/prove.h
+++ b/test/prove.h
@@ -26,7 +26,7 @@
 
 /* Names of scenarios in which a balancer asks for readiness and no once-only
  * answer may be unknown; NULL ends. */
-extern const char *const calm_scenarios[];
+extern const char *const no_unknown_scenarios[];
 
 void pause_ms (guint ms);
 guint read_metric (Cluster *c, const char *program, guint instance,
--- a/test/scenarios_assignment.c
+++ b/test/scenarios_assignment.c
@@ -59,8 +59,8 @@
 static void
 list_both (Cluster *c, const char *state)
 {
-  cluster_list (c, "catalogue-6", state);
-  cluster_list (c, "group-booking-4", state);
+  cluster_set_state (c, "catalogue-6", state);
+  cluster_set_state (c, "group-booking-4", state);
 }
 
 static guint
--- a/test/scenarios_config.c
+++ b/test/scenarios_config.c
@@ -246,9 +246,9 @@
   guint x = (guint) g_rand_int_range (rand, 1, (gint32) c->instances + 1);
 
   look (c, &w, 0, NULL);
-  cluster_platform (c, "lose", 0);
+  cluster_set_platform_fault (c, "lose", 0);
   version = race (c, x, x % c->instances + 1, version_now (c));
-  cluster_platform (c, "up", 0);
+  cluster_set_platform_fault (c, "up", 0);
   if (version == 0 || wait_in_force (c, &w, version, NULL) < 0)
     return 0;
   return w.backwards == 0 ? 1 : 0;
@@ -261,7 +261,7 @@
 
   for (guint i = 0; i < G_N_ELEMENTS (others); i++)
     if (!g_str_equal (others[i], zone))
-      cluster_relay (c, "cut", zone, others[i]);
+      cluster_set_relay_rule (c, "cut", zone, others[i]);
 }
 
 static void
@@ -334,7 +334,7 @@
   if (after == 0 || wait_in_force (c, &w, after, zone) < 0 ||
       !instance_has (c, restarted, before))
     return 0;
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   return wait_in_force (c, &w, after, NULL) >= 0 && w.backwards == 0 ? 1 : 0;
 }
 
--- a/test/scenarios_lease.c
+++ b/test/scenarios_lease.c
@@ -145,16 +145,16 @@
   guint steps = sum_metric (c, "assign", "capercrank_assignment_steps");
 
   (void) rand;
-  cluster_behave (c, "group-booking-1", "work_us=300000");
-  cluster_behave (c, "gate-payment-1", "work_us=300000");
+  cluster_set_server_behaviour (c, "group-booking-1", "work_us=300000");
+  cluster_set_server_behaviour (c, "gate-payment-1", "work_us=300000");
   pause_ms (1000);
   cluster_signal (c, "group-booking-1", SIGSTOP);
   cluster_signal (c, "gate-payment-1", SIGSTOP);
   pause_ms (PAST_LEASE);
   cluster_signal (c, "group-booking-1", SIGCONT);
   cluster_signal (c, "gate-payment-1", SIGCONT);
-  cluster_behave (c, "group-booking-1", "work_us=12000");
-  cluster_behave (c, "gate-payment-1", "work_us=8000");
+  cluster_set_server_behaviour (c, "group-booking-1", "work_us=12000");
+  cluster_set_server_behaviour (c, "gate-payment-1", "work_us=8000");
   return sum_metric (c, "assign", "capercrank_assignment_steps") - steps;
 }
 
@@ -182,9 +182,9 @@
 {
   guint before = extensions (c);
 
-  cluster_platform (c, mode, ms);
+  cluster_set_platform_fault (c, mode, ms);
   pause_ms (PAST_LEASE);
-  cluster_platform (c, "up", 0);
+  cluster_set_platform_fault (c, "up", 0);
   return extensions (c) - before;
 }
 
@@ -211,7 +211,7 @@
   guint i = pick (rand, c);
   guint before = sum_metric (c, "dispatch", "capercrank_platform_failures");
 
-  cluster_list (c, "catalogue-2", "leaving");
+  cluster_set_state (c, "catalogue-2", "leaving");
   signal_one (c, "dispatch", i, SIGKILL);
   platform_fault (c, "lose", 0);
   signal_one (c, "dispatch", i, 0);
@@ -224,9 +224,9 @@
   guint before = extensions (c);
 
   (void) rand;
-  cluster_relay (c, "cut", "a", "platform");
+  cluster_set_relay_rule (c, "cut", "a", "platform");
   pause_ms (PAST_LEASE);
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   return extensions (c) - before;
 }
 
@@ -236,20 +236,20 @@
   guint touched = 0;
 
   (void) rand;
-  touched += cluster_relay (c, "cut", "a", "b");
-  touched += cluster_relay (c, "cut", "a", "c");
+  touched += cluster_set_relay_rule (c, "cut", "a", "b");
+  touched += cluster_set_relay_rule (c, "cut", "a", "c");
   pause_ms (PAST_LEASE);
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   return touched;
 }
 
 static void
 cut_zone (Cluster *c, gboolean from_platform)
 {
-  cluster_relay (c, "cut", "a", "b");
-  cluster_relay (c, "cut", "a", "c");
+  cluster_set_relay_rule (c, "cut", "a", "b");
+  cluster_set_relay_rule (c, "cut", "a", "c");
   if (from_platform)
-    cluster_relay (c, "cut", "a", "platform");
+    cluster_set_relay_rule (c, "cut", "a", "platform");
 }
 
 static guint
@@ -260,7 +260,7 @@
   (void) rand;
   cut_zone (c, TRUE);
   pause_ms (PAST_LEASE);
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   return takeovers (c) - before;
 }
 
@@ -285,14 +285,14 @@
   (void) rand;
   for (guint i = 0; active != 0 && i < G_N_ELEMENTS (zones); i++)
     if (!g_str_equal (zones[i], zone))
-      cluster_relay (c, "cut", zone, zones[i]);
+      cluster_set_relay_rule (c, "cut", zone, zones[i]);
   for (guint i = 1; i <= c->instances; i++)
     if (!g_str_equal (zone_of (c, "dispatch", i), zone))
       lost = i;
   signal_one (c, "dispatch", lost, SIGKILL);
   pause_ms (PAST_LEASE);
   next = active_assigner (c);
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   signal_one (c, "dispatch", lost, 0);
   pause_ms (1000);
   return next != active ? takeovers (c) - before : 0;
@@ -335,12 +335,12 @@
   pause_ms (2000);
   served = read_metric (c, "entry", 3, "capercrank_requests_in_target");
   held = read_metric (c, "dispatch", 3, "capercrank_lease_held");
-  cluster_relay (c, "heal", "", "");
+  cluster_set_relay_rule (c, "heal", "", "");
   pause_ms (3000);
   cluster_signal (c, "dispatch-3", SIGKILL);
-  cluster_list (c, "i3", "gone");
+  cluster_set_state (c, "i3", "gone");
   pause_ms (PAST_LEASE);
-  cluster_list (c, "i3", "live");
+  cluster_set_state (c, "i3", "live");
   cluster_restart (c, "dispatch-3");
   fprintf (stderr, "%u served in the cut zone without a lease (held %u)\n",
            served - before, held);
--- a/test/scenarios_outcome.c
+++ b/test/scenarios_outcome.c
@@ -60,7 +60,7 @@
   name = g_strdup_printf ("dispatch-%u", fullest_dispatcher (c, &outcomes));
   before = sum_metric (c, "dispatch", "capercrank_outcomes_received");
   cluster_signal (c, name, SIGTERM);
-  if (!cluster_wait_end (c, name, 15))
+  if (!cluster_wait_exit (c, name, 15))
     return 0;
   passed = sum_metric (c, "dispatch", "capercrank_outcomes_received") - before;
   fprintf (stderr, "%s with %u outcomes left, %u chunks came\n", name, outcomes,
@@ -78,7 +78,7 @@
   (void) rand;
   asked = read_metric (c, "entry", 2, "capercrank_requests");
   cluster_signal (c, "entry-2", SIGTERM);
-  if (!cluster_wait_end (c, "entry-2", 30))
+  if (!cluster_wait_exit (c, "entry-2", 30))
     return 0;
   cluster_restart (c, "entry-2");
   return asked;
@@ -93,12 +93,12 @@
   guint ours, found, dropped, theirs;
 
   (void) rand;
-  ours = cluster_relay (c, "silence", "instance-1", "dispatch-2");
+  ours = cluster_set_relay_rule (c, "silence", "instance-1", "dispatch-2");
   pause_ms (1500);
-  ours += cluster_relay (c, "silence", "instance-2", "entry-3");
+  ours += cluster_set_relay_rule (c, "silence", "instance-2", "entry-3");
   pause_ms (1500);
-  theirs = cluster_relay (c, "silence", "b", "catalogue-1") +
-           cluster_relay (c, "silence", "c", "catalogue-2");
+  theirs = cluster_set_relay_rule (c, "silence", "b", "catalogue-1") +
+           cluster_set_relay_rule (c, "silence", "c", "catalogue-2");
   pause_ms (1500);
   dropped = sum_metric (c, "dispatch", "capercrank_pools_dropped");
   found = sum_metric (c, "entry", "capercrank_links_silent") +
@@ -162,7 +162,7 @@
   guint left = 0;
 
   for (guint i = 0; i < G_N_ELEMENTS (servers); i++)
-    cluster_list (c, servers[i], "leaving");
+    cluster_set_state (c, servers[i], "leaving");
   if (lost != NULL)
     cluster_signal (c, lost, SIGKILL);
   pause_ms (6000);
@@ -207,10 +207,10 @@
   guint left;
 
   (void) rand;
-  cluster_platform (c, "slow", LATE_MS);
+  cluster_set_platform_fault (c, "slow", LATE_MS);
   pause_ms (2000);
   left = leave (c, NULL);
-  cluster_platform (c, "up", 0);
+  cluster_set_platform_fault (c, "up", 0);
   return left;
 }
 
@@ -249,9 +249,9 @@
   { NULL, NULL, 0, 0, NULL, FALSE }
 };
 
-const char *const calm_scenarios[] = { "repeats",
-                                       "drain-dispatcher",
-                                       "drain-entry",
-                                       "server-leaves",
-                                       "server-leaves-platform-late",
-                                       NULL };
+const char *const no_unknown_scenarios[] = { "repeats",
+                                             "drain-dispatcher",
+                                             "drain-entry",
+                                             "server-leaves",
+                                             "server-leaves-platform-late",
+                                             NULL };
