--- a/test/prove.h
+++ b/test/prove.h
@@ -1,31 +1,33 @@
-/* Scenarios of failure, run against the real processes. */
+/* Fault scenarios, run against the real processes while the load generator
+ * sends requests. */
 #ifndef TEST_PROVE_H
 #define TEST_PROVE_H
 
 #include "harness.h"
 
-/* Runs while the load does, from two seconds after its start.  Returns how
- * often the fault was seen to fall inside its window; 0 fails the proof. */
+/* Injects the faults of a scenario, from two seconds after the start of the
+ * load.  Returns how often the fault took effect as intended, usually by the
+ * metrics of the processes; 0 fails the scenario. */
 typedef guint (*ScenarioRun) (Cluster *c, GRand *rand);
 
 typedef struct
 {
   const char *name;
-  const char *tells; /* what callers see, what happens, why */
-  guint seconds;     /* of load */
-  guint repeats;     /* tries of each request until run */
+  const char *description; /* what happens and what callers get */
+  guint seconds;           /* duration of the load */
+  guint repeats;           /* attempts at each request until it ran */
   ScenarioRun run;
   gboolean in_check; /* part of make check */
 } Scenario;
 
-extern const Scenario config_scenarios[];     /* operators racing, cuts */
-extern const Scenario lease_scenarios[];      /* leases, epochs, moves, cuts */
-extern const Scenario outcome_scenarios[];    /* repeats, silence, drains */
+extern const Scenario config_scenarios[];  /* configuration */
+extern const Scenario lease_scenarios[];   /* leases, partitions */
+extern const Scenario outcome_scenarios[]; /* repeats, silent links, drains */
 extern const Scenario assignment_scenarios[]; /* load, hot keys, joins */
-extern const Scenario operator_scenarios[];   /* the tool */
+extern const Scenario operator_scenarios[];   /* capercrankctl */
 
-/* Names of scenarios in which a balancer asks for readiness and no once-only
- * answer may be unknown; NULL ends. */
+/* Names of the scenarios in which the balancer polls /readyz and no once-only
+ * request may get the outcome unknown; ends with NULL. */
 extern const char *const no_unknown_scenarios[];
 
 void pause_ms (guint ms);
--- a/test/scenarios_assignment.c
+++ b/test/scenarios_assignment.c
@@ -1,4 +1,5 @@
-/* Moves of ownership for load, under load: hot keys, joins and leaves. */
+/* Moves of keys between servers under load, caused by hot keys and by servers
+ * that join and leave.  Guards against a key with two owners while it moves. */
 #include <stdio.h>
 
 #include <json-glib/json-glib.h>
@@ -7,7 +8,8 @@
 
 #define HOT_SECONDS 14
 
-/* Requests for one key of each pool, each several times what a key has. */
+/* Requests for one key of each pool, at several times the usual rate of a
+ * key. */
 static const char hot_requests[] =
     "[{\"class\":\"browse\",\"rate\":120,\"method\":\"GET\",\"path\":\"/slots/"
     "1\",\"key\":\"castle-%s\",\"keys\":1,\"tenants\":40,\"body\":0},"
@@ -15,7 +17,8 @@
     "\"/groups/1\",\"key\":\"group-%s\",\"keys\":1,\"tenants\":25,\"body\":400}"
     "]";
 
-/* A copy of the deployment's file with requests for the key NUMBER only. */
+/* Writes a copy of the deployment's file with requests for the key NUMBER only.
+ * Returns its path, to be freed. */
 static char *
 write_hot_deployment (Cluster *c, const char *number)
 {
@@ -36,8 +39,10 @@
   return path;
 }
 
+/* Starts a load generator that sends requests for the key NUMBER only.  Returns
+ * its process id. */
 static int
-heat (Cluster *c, const char *number, guint seed)
+load_one_key (Cluster *c, const char *number, guint seed)
 {
   g_autofree char *hot = write_hot_deployment (c, number);
   char *file = c->file;
@@ -49,15 +54,15 @@
   return load;
 }
 
-/* The sum of a gauge over all pools and assigners. */
+/* Returns the sum of a metric over all pools and assigners. */
 static guint
-gauge (Cluster *c, const char *name)
+sum_of_assigners (Cluster *c, const char *name)
 {
   return sum_metric (c, "assign", name);
 }
 
 static void
-list_both (Cluster *c, const char *state)
+set_state_of_two (Cluster *c, const char *state)
 {
   cluster_set_state (c, "catalogue-6", state);
   cluster_set_state (c, "group-booking-4", state);
@@ -66,37 +71,39 @@
 static guint
 hot_key_moves (Cluster *c, GRand *rand)
 {
-  guint before = gauge (c, "capercrank_units_moved"), left, joined, splits;
-  guint took, ended;
-  int load = heat (c, "11", g_rand_int (rand) >> 1);
-  gboolean good;
+  guint before = sum_of_assigners (c, "capercrank_units_moved"), left, joined,
+        splits;
+  guint took, completed;
+  int load = load_one_key (c, "11", g_rand_int (rand) >> 1);
+  gboolean passed;
 
   pause_ms (6000);
-  list_both (c, "leaving");
+  set_state_of_two (c, "leaving");
   pause_ms (3000);
-  list_both (c, "gone");
-  good = cluster_wait (load) == 0;
-  left = gauge (c, "capercrank_units_moved");
-  load = heat (c, "12", g_rand_int (rand) >> 1);
+  set_state_of_two (c, "gone");
+  passed = cluster_wait (load) == 0;
+  left = sum_of_assigners (c, "capercrank_units_moved");
+  load = load_one_key (c, "12", g_rand_int (rand) >> 1);
   pause_ms (3000);
-  list_both (c, "live");
-  good = cluster_wait (load) == 0 && good;
+  set_state_of_two (c, "live");
+  passed = cluster_wait (load) == 0 && passed;
   pause_ms (2000);
-  joined = gauge (c, "capercrank_units_moved");
-  splits = gauge (c, "capercrank_hot_splits");
-  took = gauge (c, "capercrank_move_seconds_sum");
-  ended = gauge (c, "capercrank_move_seconds_count");
+  joined = sum_of_assigners (c, "capercrank_units_moved");
+  splits = sum_of_assigners (c, "capercrank_hot_splits");
+  took = sum_of_assigners (c, "capercrank_move_seconds_sum");
+  completed = sum_of_assigners (c, "capercrank_move_seconds_count");
   fprintf (stderr,
            "%u hot keys split, %u units moved for hot keys and leaves, "
            "%u for joins, a move took %.0f ms\n",
-           splits, left - before, joined - left, 1e3 * took / MAX (ended, 1));
-  return good && splits >= 2 && left > before && joined > left;
+           splits, left - before, joined - left,
+           1e3 * took / MAX (completed, 1));
+  return passed && splits >= 2 && left > before && joined > left;
 }
 
 const Scenario assignment_scenarios[] = {
   { "hot-key-moves",
     "One key of each pool is hot, then another, while two servers leave and "
-    "join; keys change owners all the time and none has two.",
+    "join; keys keep changing owners and none has two.",
     40, 1, hot_key_moves, FALSE },
   { NULL, NULL, 0, 0, NULL, FALSE }
 };
--- a/test/scenarios_lease.c
+++ b/test/scenarios_lease.c
@@ -1,21 +1,23 @@
-/* Failures of leases, ownership and the platform.  Each run returns how often
- * the processes themselves counted that the fault reached them. */
+/* Faults that expire leases or cut processes off from the platform: killed and
+ * paused processes, partitions, platform outages.  Each run returns how often
+ * the fault took effect, by the metrics of the processes. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "prove.h"
 
-#define PAST_LEASE 6000 /* ms; longer than any lease and its takeover */
+#define PAST_LEASE_MS 6000 /* longer than any lease and its takeover */
 
 static guint
-pick (GRand *rand, Cluster *c)
+pick_instance (GRand *rand, Cluster *c)
 {
   return (guint) g_rand_int_range (rand, 1, (gint32) c->instances + 1);
 }
 
+/* Sends SIG to the process; SIG 0 starts it again. */
 static void
-signal_one (Cluster *c, const char *program, guint instance, int sig)
+signal_or_restart (Cluster *c, const char *program, guint instance, int sig)
 {
   g_autofree char *name = g_strdup_printf ("%s-%u", program, instance);
 
@@ -34,39 +36,40 @@
 static guint
 kill_dispatcher (Cluster *c, GRand *rand)
 {
-  guint before = takeovers (c), i = pick (rand, c);
+  guint before = takeovers (c), i = pick_instance (rand, c);
 
-  signal_one (c, "dispatch", i, SIGKILL);
-  pause_ms (PAST_LEASE);
-  signal_one (c, "dispatch", i, 0);
+  signal_or_restart (c, "dispatch", i, SIGKILL);
+  pause_ms (PAST_LEASE_MS);
+  signal_or_restart (c, "dispatch", i, 0);
   return takeovers (c) - before;
 }
 
 static guint
 kill_two_dispatchers (Cluster *c, GRand *rand)
 {
-  guint before = takeovers (c), i = pick (rand, c);
+  guint before = takeovers (c), i = pick_instance (rand, c);
   guint j = i % c->instances + 1;
 
-  signal_one (c, "dispatch", i, SIGKILL);
-  signal_one (c, "dispatch", j, SIGKILL);
-  pause_ms (PAST_LEASE);
-  signal_one (c, "dispatch", i, 0);
-  signal_one (c, "dispatch", j, 0);
+  signal_or_restart (c, "dispatch", i, SIGKILL);
+  signal_or_restart (c, "dispatch", j, SIGKILL);
+  pause_ms (PAST_LEASE_MS);
+  signal_or_restart (c, "dispatch", i, 0);
+  signal_or_restart (c, "dispatch", j, 0);
   return takeovers (c) - before >= 2 ? 2 : 0;
 }
 
 static guint
 freeze_dispatcher (Cluster *c, GRand *rand)
 {
-  guint before = takeovers (c), i = pick (rand, c);
+  guint before = takeovers (c), i = pick_instance (rand, c);
 
-  signal_one (c, "dispatch", i, SIGSTOP);
+  signal_or_restart (c, "dispatch", i, SIGSTOP);
   pause_ms (5000);
-  signal_one (c, "dispatch", i, SIGCONT);
+  signal_or_restart (c, "dispatch", i, SIGCONT);
   return takeovers (c) - before;
 }
 
+/* Returns the instance whose assigner is active, 0 if none is. */
 static guint
 active_assigner (Cluster *c)
 {
@@ -76,25 +79,28 @@
   return 0;
 }
 
-/* A dispatcher is lost with it, so that there is something to decide. */
+/* A dispatcher is killed too, so that the next assigner has to reassign its
+ * servers. */
 static guint
 kill_assigner (Cluster *c, GRand *rand)
 {
-  guint active = active_assigner (c), i = pick (rand, c), next;
+  guint active = active_assigner (c), i = pick_instance (rand, c), next;
 
   if (active == 0)
     return 0;
-  signal_one (c, "assign", active, SIGKILL);
-  signal_one (c, "dispatch", i, SIGKILL);
-  pause_ms (PAST_LEASE);
+  signal_or_restart (c, "assign", active, SIGKILL);
+  signal_or_restart (c, "dispatch", i, SIGKILL);
+  pause_ms (PAST_LEASE_MS);
   next = active_assigner (c);
-  signal_one (c, "assign", active, 0);
-  signal_one (c, "dispatch", i, 0);
+  signal_or_restart (c, "assign", active, 0);
+  signal_or_restart (c, "dispatch", i, 0);
   return next != 0 && next != active ? takeovers (c) : 0;
 }
 
+/* Sends SIG to all processes of the instances in ZONE; SIG 0 starts them again.
+ * Returns how many there are. */
 static guint
-instances_of (Cluster *c, const char *zone, int sig)
+signal_zone (Cluster *c, const char *zone, int sig)
 {
   guint n = 0;
 
@@ -117,9 +123,9 @@
 kill_zone (Cluster *c, GRand *rand)
 {
   (void) rand;
-  instances_of (c, "a", SIGKILL);
-  pause_ms (PAST_LEASE);
-  instances_of (c, "a", 0);
+  signal_zone (c, "a", SIGKILL);
+  pause_ms (PAST_LEASE_MS);
+  signal_zone (c, "a", 0);
   return takeovers (c);
 }
 
@@ -131,14 +137,15 @@
   (void) rand;
   cluster_signal (c, "catalogue-1", SIGSTOP);
   cluster_signal (c, "gate-payment-1", SIGSTOP);
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_signal (c, "catalogue-1", SIGCONT);
   cluster_signal (c, "gate-payment-1", SIGCONT);
   return sum_metric (c, "assign", "capercrank_assignment_steps") - before;
 }
 
-/* The server answers no health call and holds work that began before it froze;
- * on waking that work would take effect beside the new owner's. */
+/* The servers are paused with requests in progress and fail their health
+ * checks.  Once resumed, that work could take effect concurrently with the new
+ * owner's. */
 static guint
 freeze_server_inside (Cluster *c, GRand *rand)
 {
@@ -150,7 +157,7 @@
   pause_ms (1000);
   cluster_signal (c, "group-booking-1", SIGSTOP);
   cluster_signal (c, "gate-payment-1", SIGSTOP);
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_signal (c, "group-booking-1", SIGCONT);
   cluster_signal (c, "gate-payment-1", SIGCONT);
   cluster_set_server_behaviour (c, "group-booking-1", "work_us=12000");
@@ -161,12 +168,12 @@
 static guint
 freeze_entry (Cluster *c, GRand *rand)
 {
-  guint i = pick (rand, c);
+  guint i = pick_instance (rand, c);
   guint before = read_metric (c, "entry", i, "capercrank_messages_received");
 
-  signal_one (c, "entry", i, SIGSTOP);
+  signal_or_restart (c, "entry", i, SIGSTOP);
   pause_ms (4000);
-  signal_one (c, "entry", i, SIGCONT);
+  signal_or_restart (c, "entry", i, SIGCONT);
   pause_ms (500);
   return read_metric (c, "entry", i, "capercrank_messages_received") > before;
 }
@@ -177,13 +184,15 @@
   return sum_metric (c, "dispatch", "capercrank_lease_extensions");
 }
 
+/* Puts the platform into MODE for PAST_LEASE_MS.  Returns how many times leases
+ * were extended without it. */
 static guint
 platform_fault (Cluster *c, const char *mode, guint ms)
 {
   guint before = extensions (c);
 
   cluster_set_platform_fault (c, mode, ms);
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_set_platform_fault (c, "up", 0);
   return extensions (c) - before;
 }
@@ -195,7 +204,8 @@
   return platform_fault (c, "down", 0);
 }
 
-/* Slower than the calls' limit: every write lands after it was given up. */
+/* Slower than the timeout of the calls: every write takes effect after its
+ * caller has timed out. */
 static guint
 platform_slow (Cluster *c, GRand *rand)
 {
@@ -203,18 +213,18 @@
   return platform_fault (c, "slow", 1800);
 }
 
-/* Every write takes effect and no answer comes, while a server leaves and a
- * dispatcher is lost: renewals, a move and a takeover at once. */
+/* Every write takes effect and its answer is lost, while a server leaves and a
+ * dispatcher is killed: lease renewals, a move and a takeover at once. */
 static guint
-platform_loses (Cluster *c, GRand *rand)
+platform_loses_answers (Cluster *c, GRand *rand)
 {
-  guint i = pick (rand, c);
+  guint i = pick_instance (rand, c);
   guint before = sum_metric (c, "dispatch", "capercrank_platform_failures");
 
   cluster_set_state (c, "catalogue-2", "leaving");
-  signal_one (c, "dispatch", i, SIGKILL);
+  signal_or_restart (c, "dispatch", i, SIGKILL);
   platform_fault (c, "lose", 0);
-  signal_one (c, "dispatch", i, 0);
+  signal_or_restart (c, "dispatch", i, 0);
   return sum_metric (c, "dispatch", "capercrank_platform_failures") > before;
 }
 
@@ -225,7 +235,7 @@
 
   (void) rand;
   cluster_set_relay_rule (c, "cut", "a", "platform");
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_set_relay_rule (c, "heal", "", "");
   return extensions (c) - before;
 }
@@ -233,14 +243,14 @@
 static guint
 cut_zone_from_others (Cluster *c, GRand *rand)
 {
-  guint touched = 0;
+  guint cut = 0;
 
   (void) rand;
-  touched += cluster_set_relay_rule (c, "cut", "a", "b");
-  touched += cluster_set_relay_rule (c, "cut", "a", "c");
-  pause_ms (PAST_LEASE);
+  cut += cluster_set_relay_rule (c, "cut", "a", "b");
+  cut += cluster_set_relay_rule (c, "cut", "a", "c");
+  pause_ms (PAST_LEASE_MS);
   cluster_set_relay_rule (c, "heal", "", "");
-  return touched;
+  return cut;
 }
 
 static void
@@ -259,7 +269,7 @@
 
   (void) rand;
   cut_zone (c, TRUE);
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_set_relay_rule (c, "heal", "", "");
   return takeovers (c) - before;
 }
@@ -272,9 +282,9 @@
   return cluster_find (c, name)->zone;
 }
 
-/* The active assigner's zone is cut off from the others and keeps the platform;
- * a dispatcher elsewhere is lost.  The assigner can't ask a majority of the
- * voters and has to make place for one that can. */
+/* The active assigner's zone is cut off from the other zones and still reaches
+ * the platform; a dispatcher elsewhere is killed.  The assigner cannot reach a
+ * majority of the voters and has to let another one become active. */
 static guint
 cut_off_assigner (Cluster *c, GRand *rand)
 {
@@ -289,17 +299,19 @@
   for (guint i = 1; i <= c->instances; i++)
     if (!g_str_equal (zone_of (c, "dispatch", i), zone))
       lost = i;
-  signal_one (c, "dispatch", lost, SIGKILL);
-  pause_ms (PAST_LEASE);
+  signal_or_restart (c, "dispatch", lost, SIGKILL);
+  pause_ms (PAST_LEASE_MS);
   next = active_assigner (c);
   cluster_set_relay_rule (c, "heal", "", "");
-  signal_one (c, "dispatch", lost, 0);
+  signal_or_restart (c, "dispatch", lost, 0);
   pause_ms (1000);
   return next != active ? takeovers (c) - before : 0;
 }
 
+/* Submits the document with "cut_off": "keep" in each pool that has
+ * "checks_grants", against successive versions until one matches. */
 static gboolean
-submit_keep (Cluster *c)
+submit_cut_off_keep (Cluster *c)
 {
   g_auto (GStrv) parts = g_strsplit (c->document, "\"checks_grants\"", -1);
   g_autofree char *text =
@@ -317,16 +329,17 @@
   return FALSE;
 }
 
-/* Pools with "cut_off": "keep".  A zone is cut off from all; its dispatchers
- * serve their zone's callers on, without a lease, and nobody takes over.  Then
- * one of its instances is lost and listed as gone: only then is it replaced. */
+/* Pools with "cut_off": "keep".  A zone is isolated; its dispatchers go on
+ * serving the callers of the zone without a lease, and their servers are not
+ * taken over.  Then one of its instances is killed and listed as gone; only
+ * after that are its servers taken over. */
 static guint
 cut_off_keep (Cluster *c, GRand *rand)
 {
   guint before, served, held;
 
   (void) rand;
-  if (!submit_keep (c))
+  if (!submit_cut_off_keep (c))
     return 0;
   pause_ms (2000);
   cut_zone (c, TRUE);
@@ -339,7 +352,7 @@
   pause_ms (3000);
   cluster_signal (c, "dispatch-3", SIGKILL);
   cluster_set_state (c, "i3", "gone");
-  pause_ms (PAST_LEASE);
+  pause_ms (PAST_LEASE_MS);
   cluster_set_state (c, "i3", "live");
   cluster_restart (c, "dispatch-3");
   fprintf (stderr, "%u served in the cut zone without a lease (held %u)\n",
@@ -347,7 +360,8 @@
   return held == 0 ? served - before : 0;
 }
 
-/* Cut, healed, cut otherwise, healed, and the table down at the end. */
+/* A zone is isolated, then cut off from the platform only; then the platform is
+ * down. */
 static guint
 cut_again (Cluster *c, GRand *rand)
 {
@@ -361,48 +375,49 @@
 
 const Scenario lease_scenarios[] = {
   { "kill-dispatcher",
-    "Callers get unknown for what was in flight and not-run until its servers "
-    "are taken over.",
+    "Requests in flight get unknown, new ones not-run until its servers are "
+    "taken over.",
     14, 1, kill_dispatcher, TRUE },
-  { "kill-two-dispatchers", "Two are lost in the same moment.", 14, 1,
+  { "kill-two-dispatchers", "Two dispatchers are killed at once.", 14, 1,
     kill_two_dispatchers, FALSE },
   { "kill-assigner",
-    "The active assigner is lost with a dispatcher; another decides.", 16, 1,
-    kill_assigner, FALSE },
-  { "kill-zone", "All processes of a zone's instances are lost at once.", 14, 1,
-    kill_zone, FALSE },
+    "The active assigner and a dispatcher are killed; another takes over.", 16,
+    1, kill_assigner, FALSE },
+  { "kill-zone", "All processes of a zone's instances are killed at once.", 14,
+    1, kill_zone, FALSE },
   { "freeze-dispatcher",
-    "It is paused past its lease and comes back unaware; it must send nothing.",
+    "A dispatcher is paused past its lease; once resumed it must send nothing.",
     14, 1, freeze_dispatcher, TRUE },
-  { "freeze-server", "Servers freeze and come back; their slices have moved.",
+  { "freeze-server", "Servers are paused and resumed; their slices have moved.",
     14, 1, freeze_server, FALSE },
   { "freeze-server-inside",
-    "Servers freeze with work begun, and finish it after the move.", 16, 1,
-    freeze_server_inside, FALSE },
-  { "freeze-entry", "Its callers wait; answers that come late are dropped.", 12,
-    1, freeze_entry, FALSE },
+    "Servers are paused with work in progress, and finish it after the move.",
+    16, 1, freeze_server_inside, FALSE },
+  { "freeze-entry",
+    "An entry is paused; its callers wait, late answers are dropped.", 12, 1,
+    freeze_entry, FALSE },
   { "platform-down",
-    "The table is down for longer than any lease; serving goes on.", 14, 1,
-    platform_down, TRUE },
-  { "platform-slow", "Every write lands after it was given up.", 14, 1,
-    platform_slow, FALSE },
+    "The table is down for longer than any lease; requests are still served.",
+    14, 1, platform_down, TRUE },
+  { "platform-slow", "Every write takes effect after its caller has timed out.",
+    14, 1, platform_slow, FALSE },
   { "platform-loses",
     "Writes take effect, their answers are lost: renewals, a move, a takeover.",
-    16, 1, platform_loses, FALSE },
-  { "cut-zone-from-platform",
-    "A zone loses the platform, other zones are reachable.", 14, 1,
-    cut_zone_from_platform, FALSE },
-  { "cut-zone-from-others", "A zone loses the others and keeps the platform.",
-    14, 1, cut_zone_from_others, FALSE },
-  { "cut-zone-from-all", "A zone loses the others and the platform.", 14, 1,
+    16, 1, platform_loses_answers, FALSE },
+  { "cut-zone-from-platform", "A zone is cut off from the platform only.", 14,
+    1, cut_zone_from_platform, FALSE },
+  { "cut-zone-from-others", "A zone is cut off from the other zones only.", 14,
+    1, cut_zone_from_others, FALSE },
+  { "cut-zone-from-all",
+    "A zone is cut off from the other zones and the platform.", 14, 1,
     cut_zone_from_all, FALSE },
   { "cut-off-assigner",
-    "The active assigner reaches the platform, but no majority of the voters.",
-    16, 1, cut_off_assigner, FALSE },
+    "The active assigner reaches the platform, but no majority of voters.", 16,
+    1, cut_off_assigner, FALSE },
   { "cut-off-keep",
-    "A zone cut off from all serves on without a lease; an instance is gone.",
+    "An isolated zone goes on serving without a lease; an instance is gone.",
     24, 1, cut_off_keep, FALSE },
-  { "cut-again", "Cuts and outages one after another, healed between.", 32, 1,
+  { "cut-again", "Partitions and a platform outage, one after another.", 32, 1,
     cut_again, FALSE },
   { NULL, NULL, 0, 0, NULL, FALSE }
 };
--- a/test/scenarios_operator.c
+++ b/test/scenarios_operator.c
@@ -1,5 +1,5 @@
-/* The operators' tool against running processes: what it does, and its exit
- * codes. */
+/* capercrankctl against a running deployment: draining a server under load, and
+ * the exit codes. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/stat.h>
@@ -8,12 +8,13 @@
 
 #include "prove.h"
 
-#define GONE_MS 5000    /* a drained server has no keys after this, at most */
-#define SETTLED_MS 1500 /* what was in flight to it has ended */
-#define QUIET_MS 2000   /* for this long nothing new may reach it */
+#define MOVED_MS 5000   /* within this a drained server has no keys */
+#define SETTLED_MS 1500 /* its requests in flight are done */
+#define QUIET_MS 2000   /* time in which no request may reach it */
 
-/* Runs capercrankctl with WORDS (ends with NULL) through the assigner of
- * INSTANCE.  Returns its exit code, its output in *OUT if OUT is given. */
+/* Runs capercrankctl with the arguments WORDS, which end with NULL, against the
+ * assigner of INSTANCE.  Returns its exit code, -1 if it was killed; stores its
+ * output in *OUT, to be freed, unless OUT is NULL. */
 static int
 run_tool (Cluster *c, guint instance, const char *const *words, char **out)
 {
@@ -34,7 +35,8 @@
   return WIFEXITED (status) ? WEXITSTATUS (status) : -1;
 }
 
-/* The slices that SERVER owns or still has to give up, by the tool's table. */
+/* Returns the number of slices that SERVER owns or has to hand over, as
+ * "capercrankctl show owners" prints it; -1 if it does not. */
 static gint64
 slices_of (Cluster *c, guint instance, const char *server)
 {
@@ -60,10 +62,10 @@
   return -1;
 }
 
-/* Waits until SERVER has no slice, or, if WANTED, has some again.  Returns
- * the time it took in ms, or -1. */
+/* Waits until SERVER has slices, if OWNING, or else has none.  Returns the time
+ * it took in ms, or -1 after MOVED_MS. */
 static gint64
-wait_slices (Cluster *c, guint instance, const char *server, gboolean wanted)
+wait_slices (Cluster *c, guint instance, const char *server, gboolean owning)
 {
   gint64 start = g_get_monotonic_time ();
 
@@ -72,9 +74,9 @@
       gint64 n = slices_of (c, instance, server);
       gint64 took = (g_get_monotonic_time () - start) / 1000;
 
-      if (n >= 0 && (n > 0) == wanted)
+      if (n >= 0 && (n > 0) == owning)
         return took;
-      if (took > GONE_MS)
+      if (took > MOVED_MS)
         {
           fprintf (stderr, "%s still has %d slices\n", server, (int) n);
           return -1;
@@ -83,9 +85,10 @@
     }
 }
 
-/* Bytes of what SERVER recorded: one line for each request that reached it. */
+/* Returns the size of SERVER's record file, which grows with each request that
+ * reaches it; -1 if there is none. */
 static gint64
-recorded (Cluster *c, const char *server)
+records_size (Cluster *c, const char *server)
 {
   g_autofree char *path = g_strdup_printf ("%s/%s.records", c->folder, server);
   struct stat s;
@@ -94,16 +97,16 @@
 }
 
 static gboolean
-stays_quiet (Cluster *c, const char *server)
+gets_no_requests (Cluster *c, const char *server)
 {
   gint64 before;
 
   pause_ms (SETTLED_MS);
-  before = recorded (c, server);
+  before = records_size (c, server);
   pause_ms (QUIET_MS);
-  if (before > 0 && recorded (c, server) == before)
+  if (before > 0 && records_size (c, server) == before)
     return TRUE;
-  fprintf (stderr, "%s got work after it was drained\n", server);
+  fprintf (stderr, "%s got requests after it was drained\n", server);
   return FALSE;
 }
 
@@ -123,7 +126,7 @@
       run_tool (c, other, drain, NULL) != 0)
     return 0;
   out = wait_slices (c, other, server, FALSE);
-  if (out < 0 || !stays_quiet (c, server) ||
+  if (out < 0 || !gets_no_requests (c, server) ||
       run_tool (c, other, undrain, NULL) != 0)
     return 0;
   back = wait_slices (c, at, server, TRUE);
@@ -132,17 +135,17 @@
   return back >= 0 ? 1 : 0;
 }
 
-/* A command line and the exit code that it has to end with. */
+/* A command line and the exit code that it must have. */
 typedef struct
 {
   const char *words[5];
   int code;
-} Ending;
+} ExitCase;
 
 static guint
 exit_codes (Cluster *c, GRand *rand)
 {
-  static const Ending endings[] = {
+  static const ExitCase cases[] = {
     { { "show", "config" }, 0 },
     { { "show", "members" }, 0 },
     { { "--json", "show", "slices" }, 0 },
@@ -159,28 +162,29 @@
     { { "follow", "127.0.0.1:1" }, 1 },
     { { "version" }, 0 },
   };
-  guint good = 0;
+  guint matched = 0;
 
   (void) rand;
-  for (guint i = 0; i < G_N_ELEMENTS (endings); i++)
+  for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      int code = run_tool (c, 1, endings[i].words, NULL);
+      int code = run_tool (c, 1, cases[i].words, NULL);
 
-      good += code == endings[i].code ? 1 : 0;
-      if (code != endings[i].code)
-        fprintf (stderr, "%s %s ended with %d, not %d\n", endings[i].words[0],
-                 endings[i].words[1], code, endings[i].code);
+      matched += code == cases[i].code ? 1 : 0;
+      if (code != cases[i].code)
+        fprintf (stderr, "%s %s exited with %d, expected %d\n",
+                 cases[i].words[0], cases[i].words[1], code, cases[i].code);
     }
-  return good == G_N_ELEMENTS (endings) ? good : 0;
+  return matched == G_N_ELEMENTS (cases) ? matched : 0;
 }
 
 const Scenario operator_scenarios[] = {
-  /* An operator drains a server through one assigner and, unsure of the first
-   * answer, once more through another.  Its keys move, what is in flight ends,
-   * nothing new reaches it; undrained it takes keys again. */
+  /* An operator drains a server through one assigner and repeats the command
+   * through another, as after an unconfirmed answer.  Its keys move, requests
+   * in flight complete, no new ones reach it; after undrain it gets keys
+   * again. */
   { "operator-drain", "A server is drained by an operator and used again.", 18,
     1, drain_and_back, FALSE },
-  { "operator-exit-codes", "What capercrankctl ends with, case by case.", 6, 1,
-    exit_codes, TRUE },
+  { "operator-exit-codes", "The exit codes of capercrankctl.", 6, 1, exit_codes,
+    TRUE },
   { NULL, NULL, 0, 0, NULL, FALSE }
 };
--- a/test/scenarios_outcome.c
+++ b/test/scenarios_outcome.c
@@ -1,4 +1,6 @@
-/* Failures of connections, repeats and drains. */
+/* Silent connections, repeats of once-only requests, and drains.  Guards
+ * against a repeat that runs twice and against answers that are lost in a
+ * drain. */
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,7 +16,8 @@
   return sum_metric (c, "dispatch", "capercrank_repeats_answered");
 }
 
-/* The dispatcher that remembers most: its loss is the one that counts. */
+/* Returns the instance of the dispatcher that holds most outcomes, and their
+ * number: the one whose loss or drain affects most repeats. */
 static guint
 fullest_dispatcher (Cluster *c, guint *outcomes)
 {
@@ -53,7 +56,7 @@
 drain_dispatcher (Cluster *c, GRand *rand)
 {
   g_autofree char *name = NULL;
-  guint outcomes, before, passed;
+  guint outcomes, before, chunks;
 
   (void) rand;
   pause_ms (1500);
@@ -62,57 +65,60 @@
   cluster_signal (c, name, SIGTERM);
   if (!cluster_wait_exit (c, name, 15))
     return 0;
-  passed = sum_metric (c, "dispatch", "capercrank_outcomes_received") - before;
-  fprintf (stderr, "%s with %u outcomes left, %u chunks came\n", name, outcomes,
-           passed);
+  chunks = sum_metric (c, "dispatch", "capercrank_outcomes_received") - before;
+  fprintf (stderr, "%s exited with %u outcomes, %u chunks were received\n",
+           name, outcomes, chunks);
   cluster_restart (c, name);
   pause_ms (2000);
-  return MIN (outcomes, passed);
+  return MIN (outcomes, chunks);
 }
 
 static guint
 drain_entry (Cluster *c, GRand *rand)
 {
-  guint asked;
+  guint requests;
 
   (void) rand;
-  asked = read_metric (c, "entry", 2, "capercrank_requests");
+  requests = read_metric (c, "entry", 2, "capercrank_requests");
   cluster_signal (c, "entry-2", SIGTERM);
   if (!cluster_wait_exit (c, "entry-2", 30))
     return 0;
   cluster_restart (c, "entry-2");
-  return asked;
+  return requests;
 }
 
-/* Each of the four kinds of link goes silent in turn, in use; counted are the
- * connections that were swallowed between our own processes, and it fails
- * unless they were found to be silent. */
+/* Connections of each of the four kinds of link turn silent while in use: the
+ * relay discards what they carry.  Returns the smaller number of those between
+ * the processes of the deployment and of those to servers; 0 unless the
+ * processes detected both. */
 static guint
 silence_links (Cluster *c, GRand *rand)
 {
-  guint ours, found, dropped, theirs;
+  guint own, found, dropped, to_servers;
 
   (void) rand;
-  ours = cluster_set_relay_rule (c, "silence", "instance-1", "dispatch-2");
+  own = cluster_set_relay_rule (c, "silence", "instance-1", "dispatch-2");
   pause_ms (1500);
-  ours += cluster_set_relay_rule (c, "silence", "instance-2", "entry-3");
+  own += cluster_set_relay_rule (c, "silence", "instance-2", "entry-3");
   pause_ms (1500);
-  theirs = cluster_set_relay_rule (c, "silence", "b", "catalogue-1") +
-           cluster_set_relay_rule (c, "silence", "c", "catalogue-2");
+  to_servers = cluster_set_relay_rule (c, "silence", "b", "catalogue-1") +
+               cluster_set_relay_rule (c, "silence", "c", "catalogue-2");
   pause_ms (1500);
   dropped = sum_metric (c, "dispatch", "capercrank_pools_dropped");
   found = sum_metric (c, "entry", "capercrank_links_silent") +
           sum_metric (c, "dispatch", "capercrank_links_silent");
-  fprintf (stderr,
-           "\n%u links of ours swallowed, %u found silent; %u connections to "
-           "servers swallowed, %u pools dropped\n",
-           ours, found, theirs, dropped);
-  return found >= 2 && dropped >= 1 ? MIN (ours, theirs) : 0;
+  fprintf (
+      stderr,
+      "\n%u internal links silenced, %u detected; %u connections to servers "
+      "silenced, %u pools dropped\n",
+      own, found, to_servers, dropped);
+  return found >= 2 && dropped >= 1 ? MIN (own, to_servers) : 0;
 }
 
-/* A frozen process keeps its connections open and accepts new ones. */
+/* The kernel keeps the connections of a paused process open and accepts new
+ * ones, so entries have to detect it by the missing responses. */
 static guint
-freeze_and_ask (Cluster *c, GRand *rand)
+freeze_dispatcher (Cluster *c, GRand *rand)
 {
   guint before = sum_metric (c, "entry", "capercrank_links_silent");
   guint outcomes, found, frozen = fullest_dispatcher (c, &outcomes);
@@ -124,15 +130,16 @@
   found = sum_metric (c, "entry", "capercrank_links_silent") - before;
   pause_ms (4000);
   cluster_signal (c, name, SIGCONT);
-  fprintf (stderr, "%u entries found %s silent\n", found, name);
+  fprintf (stderr, "%u entries detected that %s is silent\n", found, name);
   return found;
 }
 
-#define LEAVES_WITHIN (3 * CC_SECOND) /* then no new work */
+#define LAST_WORK_WITHIN (3 * CC_SECOND) /* of being listed as leaving */
 
-/* When SERVER began its last work, by its own record, wall clock in us. */
+/* Returns when SERVER began its last request, by its records, in us of the wall
+ * clock; 0 if there are none. */
 static gint64
-last_begin (Cluster *c, const char *server)
+last_work_start (Cluster *c, const char *server)
 {
   g_autofree char *path = g_strdup_printf ("%s/%s.records", c->folder, server);
   g_autofree char *text = NULL;
@@ -152,10 +159,11 @@
   return last;
 }
 
-/* How many of two servers worked until they were listed as leaving, and began
- * nothing later than LEAVES_WITHIN after.  LOST is killed at that moment. */
+/* Lists two servers as leaving and kills the process LOST, unless NULL, at that
+ * moment.  Returns 2 if both got requests until then and began none later than
+ * LAST_WORK_WITHIN after it, or else 0. */
 static guint
-leave (Cluster *c, const char *lost)
+list_as_leaving (Cluster *c, const char *lost)
 {
   static const char *const servers[] = { "catalogue-2", "group-booking-2" };
   gint64 since = g_get_real_time ();
@@ -168,13 +176,13 @@
   pause_ms (6000);
   for (guint i = 0; i < G_N_ELEMENTS (servers); i++)
     {
-      gint64 last = last_begin (c, servers[i]);
+      gint64 last = last_work_start (c, servers[i]);
 
       fprintf (stderr,
                "%s began its last work %" G_GINT64_FORMAT
                " ms after it was listed as leaving\n",
                servers[i], (last - since) / CC_MS);
-      left += last > since - CC_SECOND && last < since + LEAVES_WITHIN;
+      left += last > since - CC_SECOND && last < since + LAST_WORK_WITHIN;
     }
   return left == G_N_ELEMENTS (servers) ? left : 0;
 }
@@ -183,7 +191,7 @@
 server_leaves (Cluster *c, GRand *rand)
 {
   (void) rand;
-  return leave (c, NULL);
+  return list_as_leaving (c, NULL);
 }
 
 static guint
@@ -191,54 +199,54 @@
 {
   g_autofree char *entry = g_strdup_printf (
       "entry-%d", g_rand_int_range (rand, 1, (gint32) c->instances + 1));
-  guint left = leave (c, entry);
+  guint left = list_as_leaving (c, entry);
 
   cluster_restart (c, entry);
   return left;
 }
 
-/* Slower than usual for the whole time of the move. */
-#define LATE_MS 900
+/* Latency of the platform while the servers leave. */
+#define SLOW_MS 900
 
-/* The moves of leaving servers end although each answer is late. */
+/* The moves of leaving servers must complete although each of the platform's
+ * answers is slow. */
 static guint
 server_leaves_platform_late (Cluster *c, GRand *rand)
 {
   guint left;
 
   (void) rand;
-  cluster_set_platform_fault (c, "slow", LATE_MS);
+  cluster_set_platform_fault (c, "slow", SLOW_MS);
   pause_ms (2000);
-  left = leave (c, NULL);
+  left = list_as_leaving (c, NULL);
   cluster_set_platform_fault (c, "up", 0);
   return left;
 }
 
 const Scenario outcome_scenarios[] = {
-  { "silent-links",
-    "Open connections swallow everything for good while new ones work.", 10, 3,
-    silence_links, TRUE },
+  { "silent-links", "Open connections lose all data while new ones work.", 10,
+    3, silence_links, TRUE },
   { "frozen-dispatcher-told",
-    "A dispatcher freezes with its connections open: unknown is said when its "
-    "lease must have lapsed, new requests are refused with a time to come "
-    "back.",
-    12, 1, freeze_and_ask, FALSE },
+    "A dispatcher is paused with its connections open: callers get unknown "
+    "once its lease must have expired; new requests are refused with a retry "
+    "time.",
+    12, 1, freeze_dispatcher, FALSE },
   { "repeats",
     "The same key through another entry, during the first attempt, after it "
-    "and seconds later; one run, one outcome.",
+    "and seconds later: it runs once and has one outcome.",
     10, 1, repeats, FALSE },
   { "repeats-after-kill",
     "The dispatcher that ran them is killed; late repeats are unknown, never "
     "run again.",
     14, 3, repeats_after_kill, TRUE },
   { "drain-dispatcher",
-    "SIGTERM: its servers and its memory go to others; nobody is told unknown.",
-    14, 3, drain_dispatcher, FALSE },
+    "SIGTERM: its servers and outcomes go to peers; no answer is unknown.", 14,
+    3, drain_dispatcher, FALSE },
   { "drain-entry",
-    "SIGTERM: readiness fails, the balancer turns away, nothing is cut off.",
+    "SIGTERM: readiness fails, the balancer leaves it, no request is cut off.",
     10, 1, drain_entry, FALSE },
   { "server-leaves",
-    "A server is listed as leaving; nothing is cut off, no new work after 3 s.",
+    "A server is listed as leaving: no request is cut off, none new after 3 s.",
     10, 1, server_leaves, TRUE },
   { "server-leaves-platform-late",
     "As server-leaves, while each answer of the platform takes 0.9 s.", 12, 1,
