--- a/test/harness.c
+++ b/test/harness.c
@@ -1,6 +1,6 @@
-/* Each process gets an address of its own in 127.NET.0.0/16, NET being one
- * that no other run uses.  Children die with this process, however it ends
- * (PR_SET_PDEATHSIG). */
+/* Each process gets its own address in 127.NET.0.0/16, with a NET that no other
+ * run uses, so that runs can be concurrent.  Children are killed when this
+ * process exits, also by a signal (PR_SET_PDEATHSIG). */
 #include "harness.h"
 
 #include <errno.h>
@@ -22,6 +22,8 @@
 #define SERVER_PORT 9000
 #define RELAY_PORT 7901
 
+/* Runs in a child after fork: ties its lifetime to that of PARENT and sets its
+ * standard error to LOG. */
 static void
 child_setup (int parent, int log)
 {
@@ -53,7 +55,8 @@
   return pid;
 }
 
-/* Waits for PID to end.  Returns its exit code, or 128 and its signal. */
+/* Waits until PID exits.  Returns its exit code, or 128 plus the number of the
+ * signal that killed it. */
 int
 cluster_wait (int pid)
 {
@@ -81,7 +84,7 @@
 }
 
 static void
-flag (Process *p, const char *name, const char *format, ...)
+add_flag (Process *p, const char *name, const char *format, ...)
 {
   va_list args;
   char *value;
@@ -104,10 +107,11 @@
   p->pid = cluster_spawn (c, (char **) argv->pdata, p->name);
 }
 
-/* The address by which others reach IP:PORT: in a relayed run its front, the
- * same with 100 added to the third number. */
+/* Returns the address at which other processes connect to IP:PORT, to be freed.
+ * In a relayed run the relay listens there: the same with 100 added to the
+ * third number. */
 static char *
-front (const Cluster *c, const char *ip, guint port)
+reachable_address (const Cluster *c, const char *ip, guint port)
 {
   guint a = 0, b = 0, d = 0, e = 0;
 
@@ -116,6 +120,7 @@
   return g_strdup_printf ("%u.%u.%u.%u:%u", a, b, d + 100, e, port);
 }
 
+/* Adds the entry, dispatcher and assigner of instance I. */
 static void
 add_instance (Cluster *c, guint i, const char *zone, const char *seeds)
 {
@@ -128,28 +133,30 @@
   Process *a = add_process (c, assign, zone, NULL, ip, "capercrank-assign");
   Process *all[] = { e, d, a };
   g_autofree char *platform_ip = g_strdup_printf ("127.%u.0.2", c->net);
-  g_autofree char *platform = front (c, platform_ip, PLATFORM_PORT);
-  g_autofree char *front_e = front (c, ip, 7001);
-  g_autofree char *front_d = front (c, ip, 7002);
-  g_autofree char *front_a = front (c, ip, 7003);
-  const char *fronts[] = { front_e, front_d, front_a };
+  g_autofree char *platform = reachable_address (c, platform_ip, PLATFORM_PORT);
+  g_autofree char *entry_address = reachable_address (c, ip, 7001);
+  g_autofree char *dispatch_address = reachable_address (c, ip, 7002);
+  g_autofree char *assign_address = reachable_address (c, ip, 7003);
+  const char *addresses[] = { entry_address, dispatch_address, assign_address };
 
   for (guint k = 0; k < 3; k++)
     {
-      flag (all[k], "instance", "i%u", i);
-      flag (all[k], "zone", "%s", zone);
-      flag (all[k], "listen", "%s:%u", ip, 7001 + k);
-      flag (all[k], "advertise", "%s", fronts[k]);
-      flag (all[k], "admin", "%s:%u", ip, 8081 + k);
+      add_flag (all[k], "instance", "i%u", i);
+      add_flag (all[k], "zone", "%s", zone);
+      add_flag (all[k], "listen", "%s:%u", ip, 7001 + k);
+      add_flag (all[k], "advertise", "%s", addresses[k]);
+      add_flag (all[k], "admin", "%s:%u", ip, 8081 + k);
     }
-  flag (e, "callers", "%s:8080", ip);
-  flag (e, "dispatchers", "%s,%s", front_d, seeds);
-  flag (d, "peers", "%s", seeds);
-  flag (d, "platform", "%s", platform);
-  flag (a, "platform", "%s", platform);
-  flag (a, "peers", "%s,%s", front_d, seeds);
+  add_flag (e, "callers", "%s:8080", ip);
+  add_flag (e, "dispatchers", "%s,%s", dispatch_address, seeds);
+  add_flag (d, "peers", "%s", seeds);
+  add_flag (d, "platform", "%s", platform);
+  add_flag (a, "platform", "%s", platform);
+  add_flag (a, "peers", "%s,%s", dispatch_address, seeds);
 }
 
+/* Adds the servers of pool O, round-robin over ZONES; *NEXT numbers the
+ * addresses over all pools. */
 static void
 add_servers (Cluster *c, JsonObject *o, JsonArray *zones, guint *next)
 {
@@ -164,14 +171,14 @@
       g_autofree char *ip = g_strdup_printf ("127.%u.2.%u", c->net, ++*next);
       Process *p = add_process (c, name, zone, pool, ip, "test/upstream");
 
-      flag (p, "instance", "%s", name);
-      flag (p, "pool", "%s", pool);
-      flag (p, "listen", "%s:%u", ip, SERVER_PORT);
-      flag (p, "records", "%s/%s.records", c->folder, name);
-      flag (p, "work-us", "%" G_GINT64_FORMAT,
-            json_object_get_int_member (o, "work_us"));
-      flag (p, "checks", "%d",
-            json_object_get_boolean_member (o, "checks_grants"));
+      add_flag (p, "instance", "%s", name);
+      add_flag (p, "pool", "%s", pool);
+      add_flag (p, "listen", "%s:%u", ip, SERVER_PORT);
+      add_flag (p, "records", "%s/%s.records", c->folder, name);
+      add_flag (p, "work-us", "%" G_GINT64_FORMAT,
+                json_object_get_int_member (o, "work_us"));
+      add_flag (p, "checks", "%d",
+                json_object_get_boolean_member (o, "checks_grants"));
     }
 }
 
@@ -181,15 +188,15 @@
   JsonArray *zones = json_object_get_array_member (root, "zones");
   JsonArray *servers = json_object_get_array_member (root, "servers");
   g_autofree char *ip = g_strdup_printf ("127.%u.0.2", c->net);
-  guint third = c->relayed ? 101 : 1;
+  guint seed_net = c->relayed ? 101 : 1;
   g_autofree char *seeds =
       g_strdup_printf ("127.%u.%u.1:7002,127.%u.%u.2:7002,127.%u.%u.3:7002",
-                       c->net, third, c->net, third, c->net, third);
+                       c->net, seed_net, c->net, seed_net, c->net, seed_net);
   Process *platform =
       add_process (c, "platform", "", NULL, ip, "test/platform");
   guint next = 0;
 
-  flag (platform, "listen", "%s:%u", ip, PLATFORM_PORT);
+  add_flag (platform, "listen", "%s:%u", ip, PLATFORM_PORT);
   for (guint i = 0; i < json_array_get_length (servers); i++)
     add_servers (c, json_array_get_object_element (servers, i), zones, &next);
   for (guint i = 1; i <= c->instances; i++)
@@ -199,6 +206,8 @@
                   seeds);
 }
 
+/* Returns the platform's list of instances and servers, JSON, without those
+ * that are gone. */
 static char *
 list_servers (Cluster *c)
 {
@@ -208,29 +217,33 @@
   for (guint i = 0; i < c->processes->len; i++)
     {
       const Process *p = c->processes->pdata[i];
-      gboolean ours = g_str_has_prefix (p->name, "dispatch-");
+      gboolean is_dispatcher = g_str_has_prefix (p->name, "dispatch-");
       g_autofree char *name =
-          ours ? g_strconcat ("i", p->name + strlen ("dispatch-"), NULL)
-               : g_strdup (p->name);
+          is_dispatcher
+              ? g_strconcat ("i", p->name + strlen ("dispatch-"), NULL)
+              : g_strdup (p->name);
       const char *state = g_hash_table_lookup (c->states, name);
-      g_autofree char *address = front (c, p->ip, ours ? 7002 : SERVER_PORT);
+      g_autofree char *address =
+          reachable_address (c, p->ip, is_dispatcher ? 7002 : SERVER_PORT);
 
       if (state == NULL)
         state = "live";
-      if (g_str_equal (state, "gone") || (p->pool == NULL && !ours))
+      if (g_str_equal (state, "gone") || (p->pool == NULL && !is_dispatcher))
         continue;
       g_string_append_printf (s,
                               "%s{\"name\":\"%s\",\"role\":\"%s\",\"zone\":"
                               "\"%s\",\"address\":\"%s\",\"state\":\"%s\"}",
-                              comma, name, ours ? "entry" : p->pool, p->zone,
-                              address, state);
+                              comma, name, is_dispatcher ? "entry" : p->pool,
+                              p->zone, address, state);
       comma = ",";
     }
   g_string_append (s, "]}");
   return g_string_free (s, FALSE);
 }
 
-/* One HTTP call.  Returns the status, 0 if there was no answer. */
+/* Makes one HTTP request, with BODY and If-Match unless NULL, and waits for the
+ * response for at most 5 s.  Returns the status, 0 if there was none.  Stores
+ * the body in *ANSWER, to be freed, unless NULL; "" without a response. */
 guint
 cluster_http (const char *method, const char *url, const char *body,
               const char *if_match, char **answer)
@@ -238,7 +251,7 @@
   g_autoptr (SoupSession) s =
       soup_session_new_with_options ("timeout", 5, NULL);
   g_autoptr (SoupMessage) m = soup_message_new (method, url);
-  g_autoptr (GBytes) got = NULL;
+  g_autoptr (GBytes) body_bytes = NULL;
 
   if (body != NULL)
     {
@@ -249,14 +262,17 @@
   if (if_match != NULL)
     soup_message_headers_append (soup_message_get_request_headers (m),
                                  "If-Match", if_match);
-  got = soup_session_send_and_read (s, m, NULL, NULL);
+  body_bytes = soup_session_send_and_read (s, m, NULL, NULL);
   if (answer != NULL)
-    *answer = got != NULL ? g_strndup (g_bytes_get_data (got, NULL),
-                                       g_bytes_get_size (got))
-                          : g_strdup ("");
-  return got != NULL ? soup_message_get_status (m) : 0;
+    *answer = body_bytes != NULL
+                  ? g_strndup (g_bytes_get_data (body_bytes, NULL),
+                               g_bytes_get_size (body_bytes))
+                  : g_strdup ("");
+  return body_bytes != NULL ? soup_message_get_status (m) : 0;
 }
 
+/* Submits the first document, up to 100 times until the assigner is ready.  A
+ * 422, an invalid document, ends the program. */
 static gboolean
 submit_until_accepted (Cluster *c)
 {
@@ -277,6 +293,8 @@
   return FALSE;
 }
 
+/* Writes the relay's map: a "front" line for each address that it listens on
+ * and a "from" line for each source address of an instance. */
 static void
 write_relay_map (Cluster *c, const char *file)
 {
@@ -290,7 +308,7 @@
                    : g_str_has_prefix (p->name, "dispatch") ? 7002
                    : g_str_has_prefix (p->name, "assign")   ? 7003
                                                             : PLATFORM_PORT;
-      g_autofree char *at = front (c, p->ip, port);
+      g_autofree char *at = reachable_address (c, p->ip, port);
       const char *zone = p->zone[0] != '\0' ? p->zone : "platform";
 
       g_string_append_printf (s, "front %s %s:%u %s %s\n", at, p->ip, port,
@@ -312,10 +330,11 @@
 
   write_relay_map (c, map);
   p = add_process (c, "relay", "", NULL, ip, "test/relay");
-  flag (p, "control", "%s:%u", ip, RELAY_PORT);
-  flag (p, "map", "%s", map);
+  add_flag (p, "control", "%s:%u", ip, RELAY_PORT);
+  add_flag (p, "map", "%s", map);
 }
 
+/* Sends the platform the present list, up to 50 times until it accepts it. */
 static void
 publish_servers (Cluster *c)
 {
@@ -331,8 +350,10 @@
     }
 }
 
-/* Starts all of DEPLOYMENT (a file), programs taken from BIN, and submits its
- * document.  If RELAYED, every link can be cut by cluster_set_relay_rule. */
+/* Starts all processes of DEPLOYMENT, a file, with the programs in the folder
+ * BIN, and submits its document.  If RELAYED, all links pass through the relay
+ * and cluster_set_relay_rule can cut them.  An unreadable file or a rejected
+ * document ends the program. */
 Cluster *
 cluster_start (const char *bin, const char *deployment, gboolean relayed)
 {
@@ -352,9 +373,9 @@
       json_to_string (json_object_get_member (root, "document"), TRUE);
   c->net = free_net ();
   c->instances = (guint) json_object_get_int_member (root, "instances");
-  /* Counted: a network is free again a minute after a run; the next run in it
-   * would append to the first one's records, and the audit find epochs that go
-   * back. */
+  /* RUNS keeps the folders apart.  A network can be reused a minute after a
+   * run; with the same folder the next run would append to the records of the
+   * first, and the audit would report epochs that decrease. */
   c->folder = g_strdup_printf ("%s/run/%u-%u-%u", bin, c->net,
                                (guint) getpid (), ++runs);
   g_mkdir_with_parents (c->folder, 0755);
@@ -370,9 +391,9 @@
   return c;
 }
 
-/* Sets a rule of the relay: "cut", "heal" or "silence" between A and B, each a
- * zone, "platform", "instance-3", or a process ("*": any).  Returns how many
- * open connections, or rules, it touched. */
+/* Sends the relay the rule VERB, "cut", "heal" or "silence", for links between
+ * A and B, each a zone, "platform", "instance-3" or a process ("*": any).
+ * Returns the number of open connections, or of rules, that it affected. */
 guint
 cluster_set_relay_rule (Cluster *c, const char *verb, const char *a,
                         const char *b)
@@ -385,7 +406,9 @@
   return (guint) g_ascii_strtoull (answer, NULL, 10);
 }
 
-/* Sets the platform's fault: "up", "down", "slow" or "lose". */
+/* Sets the fault of the platform: "up" (none), "down", "slow" (it waits MS
+ * before it executes a request) or "lose" (requests take effect, answers are
+ * lost). */
 void
 cluster_set_platform_fault (Cluster *c, const char *mode, guint ms)
 {
@@ -396,9 +419,8 @@
   cluster_http ("PUT", url, "", NULL, NULL);
 }
 
-/* Changes the state of a server, or of instance "i3", in the platform's list:
- * "live", "leaving", "gone".
- */
+/* Sets the state of a server, or of an instance such as "i3", in the platform's
+ * list: "live", "leaving" or "gone". */
 void
 cluster_set_state (Cluster *c, const char *server, const char *state)
 {
@@ -406,7 +428,8 @@
   publish_servers (c);
 }
 
-/* Changes how a server behaves, "work_us=50000" or "shed=1". */
+/* Changes the behaviour of a server, by a query such as "work_us=50000" or
+ * "shed=1". */
 void
 cluster_set_server_behaviour (Cluster *c, const char *server, const char *query)
 {
@@ -417,7 +440,9 @@
   cluster_http ("PUT", url, "", NULL, NULL);
 }
 
-/* Starts the load generator; cluster_wait gives the audit's verdict. */
+/* Starts the load generator for SECONDS at PERCENT of the rates of the
+ * deployment, with up to REPEATS attempts at each request.  Returns its process
+ * id; cluster_wait returns 0 for it if the audit found no fault. */
 int
 cluster_load (Cluster *c, guint seconds, guint percent, guint repeats,
               guint seed)
@@ -437,6 +462,7 @@
   return cluster_spawn (c, argv, NULL);
 }
 
+/* Returns whether the entry of instance I is ready. */
 static gboolean
 entry_serves (Cluster *c, guint i)
 {
@@ -446,7 +472,8 @@
   return cluster_http ("GET", url, NULL, NULL, NULL) == 200;
 }
 
-/* Waits until all entries are ready.  Returns FALSE after SECONDS. */
+/* Waits until all entries are ready.  Returns FALSE if they are not within
+ * SECONDS. */
 gboolean
 cluster_wait_ready (Cluster *c, guint seconds)
 {
@@ -459,7 +486,7 @@
         ready += entry_serves (c, i) ? 1 : 0;
       if (ready == c->instances)
         {
-          g_usleep (1500000); /* grants settle */
+          g_usleep (1500000); /* until all servers have their grants */
           return TRUE;
         }
       g_usleep (100000);
@@ -468,7 +495,7 @@
   return FALSE;
 }
 
-/* Ends all that was started. */
+/* Kills all processes of C and waits for them. */
 void
 cluster_stop (Cluster *c)
 {
@@ -484,7 +511,7 @@
     }
 }
 
-/* The process NAME, or NULL. */
+/* Returns the process NAME, or NULL. */
 Process *
 cluster_find (Cluster *c, const char *name)
 {
@@ -498,7 +525,8 @@
   return NULL;
 }
 
-/* Sends SIGNAL to NAME; after SIGKILL it can be restarted. */
+/* Sends SIG to the process NAME, if it runs.  After SIGKILL it waits for the
+ * exit, so that cluster_restart can follow. */
 void
 cluster_signal (Cluster *c, const char *name, int sig)
 {
@@ -513,7 +541,8 @@
   p->pid = 0;
 }
 
-/* Waits until NAME has ended by itself.  Returns FALSE after SECONDS. */
+/* Waits until NAME exits, as after SIGTERM.  Returns FALSE if it does not
+ * within SECONDS. */
 gboolean
 cluster_wait_exit (Cluster *c, const char *name, guint seconds)
 {
@@ -528,11 +557,11 @@
         }
       g_usleep (50000);
     }
-  fprintf (stderr, "%s has not ended\n", name);
+  fprintf (stderr, "%s has not exited\n", name);
   return FALSE;
 }
 
-/* Starts NAME again after it ended. */
+/* Starts NAME again after its exit; does nothing if it runs. */
 void
 cluster_restart (Cluster *c, const char *name)
 {
@@ -542,7 +571,8 @@
     start_process (c, p);
 }
 
-/* Addresses of all entries, separated by commas. */
+/* Returns the addresses of all entries for callers, separated by commas, to be
+ * freed. */
 char *
 cluster_entries (const Cluster *c)
 {
@@ -554,7 +584,8 @@
   return g_string_free (s, FALSE);
 }
 
-/* The admin address of PROGRAM ("entry", "dispatch", "assign"). */
+/* Returns the admin address of PROGRAM ("entry", "dispatch", "assign") of an
+ * instance, to be freed. */
 char *
 cluster_admin (const Cluster *c, const char *program, guint instance)
 {
--- a/test/harness.h
+++ b/test/harness.h
@@ -1,4 +1,5 @@
-/* Starts a deployment as real processes on loopback, and ends it. */
+/* Runs a deployment as real processes on loopback: starts, controls and stops
+ * them, and injects faults. */
 #ifndef TEST_HARNESS_H
 #define TEST_HARNESS_H
 
@@ -8,21 +9,21 @@
 {
   char *name; /* "entry-3", "dispatch-3", "assign-3", "catalogue-7" */
   char *zone;
-  char *pool; /* of a server; NULL for ours */
+  char *pool; /* of a server; NULL for other processes */
   char *ip;
-  GPtrArray *argv;
-  int pid; /* 0: not running */
+  GPtrArray *argv; /* of strings, without a NULL at the end */
+  int pid;         /* 0: not running */
 } Process;
 
 typedef struct
 {
-  char *file;         /* of the deployment */
-  char *document;     /* JSON */
+  char *file;         /* the deployment, JSON */
+  char *document;     /* its configuration document, JSON */
   char *folder;       /* logs and records of this run */
   char *bin;          /* folder of the programs */
   guint net;          /* 127.NET.x.y */
   gboolean relayed;   /* all links go through the relay */
-  GHashTable *states; /* server to its state in the platform's list */
+  GHashTable *states; /* name to its state in the platform's list */
   guint instances;
   GPtrArray *processes; /* of Process, platform first */
 } Cluster;
