--- a/test/load.c
+++ b/test/load.c
@@ -1,5 +1,7 @@
-/* Load generator: open-loop arrivals from a deployment's request patterns,
- * spread over the entries as a balancer would, and the audit at the end. */
+/* Load generator: sends open-loop Poisson arrivals by a deployment's request
+ * patterns, spread over the entries by a balancer, and runs the audit at the
+ * end.  Arrivals do not wait for answers, so that a slow router does not reduce
+ * the load on itself. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,32 +19,32 @@
 #include "records.h"
 #include "settings.h"
 
-#define SETTLE_MS 1500 /* after the last answer, for servers to end */
+#define SETTLE_MS 1500 /* after the last answer, for servers to finish */
 
-/* A second request with the Idempotency-Key of a first one. */
+/* When a second request with the same Idempotency-Key is sent. */
 typedef enum
 {
-  TWIN_DURING, /* sent while the first is under way */
-  TWIN_AFTER,  /* just after its answer */
-  TWIN_LATE,   /* seconds after it, when a fault may lie between */
-  TWIN_KINDS
-} TwinKind;
+  DUPLICATE_DURING, /* while the first is in flight */
+  DUPLICATE_AFTER,  /* right after its answer */
+  DUPLICATE_LATE,   /* seconds after it, so that a fault can occur in between */
+  DUPLICATE_KINDS
+} DuplicateKind;
 
-#define TWIN_DURING_MS 3
-#define TWIN_AFTER_MS 20
-#define TWIN_LATE_MIN_MS 1000
-#define TWIN_LATE_MAX_MS 6000
+#define DUPLICATE_DURING_MS 3
+#define DUPLICATE_AFTER_MS 20
+#define DUPLICATE_LATE_MIN_MS 1000
+#define DUPLICATE_LATE_MAX_MS 6000
 
 typedef struct
 {
   const CcClass *class;
-  double rate;
+  double rate; /* requests a second */
   char *method;
   char *path;
   char *key;
   guint keys;
   guint tenants;
-  guint body;
+  guint body; /* bytes */
 } Pattern;
 
 typedef struct
@@ -51,20 +53,21 @@
   guint asked;
   guint told[3];
   guint in_target;
-  CcHistogram latency; /* of what ran, or may have */
-  CcHistogram refused; /* until not-run was told */
-  GHashTable *failing; /* key to when its first failure was asked, us */
-  gint64 longest;      /* a key was unavailable, us */
+  CcHistogram latency;           /* of run and unknown, us */
+  CcHistogram refused;           /* of not-run, us */
+  GHashTable *unavailable_since; /* by key: time of its first failure, us */
+  gint64 longest_unavailable;    /* of a key, us */
 } Tally;
 
-/* A request without an answer is given up after a time that is longer than any
- * class allows, so that a run ends also if an entry says nothing. */
+/* The timeout of a request is longer than that of any class, so that it is the
+ * entry that answers in time or not, and a run ends even if one does not
+ * respond. */
 #define CONNECT_WITHIN (4 * CC_SECOND)
 #define ANSWER_WITHIN (10 * CC_SECOND)
-#define KEEP (10 * CC_SECOND) /* an idle connection */
+#define IDLE_MAX (10 * CC_SECOND) /* of a connection */
 
-/* Requests without an answer; more arrivals than that are left out.  In a run
- * that keeps up there are some tens. */
+/* Requests in flight; further arrivals are skipped.  A run in which the
+ * deployment keeps up has a few tens. */
 #define PENDING_MAX 1000
 
 typedef struct
@@ -80,13 +83,13 @@
   GMainLoop *loop;
   gint64 until;
   guint pending;
-  guint left_out; /* arrivals that were not asked, beyond PENDING_MAX */
+  guint skipped; /* arrivals beyond PENDING_MAX */
   guint repeats;
-  gboolean over;
+  gboolean ended;
   double scale;
-  guint twins; /* percent of once-only requests sent again */
-  guint twin_told[TWIN_KINDS][3];
-  gboolean calm; /* once-only requests may not be unknown */
+  guint duplicate_percent; /* of once-only requests */
+  guint duplicate_outcomes[DUPLICATE_KINDS][3];
+  gboolean no_unknown; /* fail if a once-only request is unknown */
 } Load;
 
 typedef struct
@@ -100,11 +103,11 @@
   gint64 asked;
   guint body_seed;
   guint tries;
-  const char *entry; /* where it was sent last */
-  gint64 sent;       /* ... and when, wall clock, us */
-  gboolean is_twin;
-  TwinKind kind; /* if it is a twin */
-} Ask;
+  const char *entry; /* of the last attempt */
+  gint64 sent;       /* last attempt, wall clock, us */
+  gboolean is_duplicate;
+  DuplicateKind kind; /* of a duplicate */
+} Call;
 
 static char *
 uuid_v7 (GRand *rand)
@@ -118,7 +121,7 @@
 }
 
 static GBytes *
-make_body (const Ask *a)
+make_body (const Call *a)
 {
   guint8 *data = g_malloc (a->pattern->body);
 
@@ -128,13 +131,14 @@
 }
 
 static gboolean
-body_matches (const Ask *a, GBytes *got)
+body_matches (const Call *a, GBytes *got)
 {
   g_autoptr (GBytes) sent = make_body (a);
 
   return g_bytes_equal (sent, got);
 }
 
+/* Returns the outcome that R carries; unknown without an answer. */
 static CcOutcome
 outcome_of (const CcHttpResult *r)
 {
@@ -149,62 +153,66 @@
                                        : CC_OUTCOME_UNKNOWN;
 }
 
+/* Updates how long A's key has been unavailable: from the first request that
+ * did not run to the next that did. */
 static void
-note_availability (Ask *a, CcOutcome outcome, gint64 now)
+update_availability (Call *a, CcOutcome outcome, gint64 now)
 {
-  gint64 *since = g_hash_table_lookup (a->tally->failing, a->key);
+  gint64 *since = g_hash_table_lookup (a->tally->unavailable_since, a->key);
 
   if (outcome == CC_OUTCOME_RUN && since != NULL)
     {
-      a->tally->longest = MAX (a->tally->longest, now - *since);
-      g_hash_table_remove (a->tally->failing, a->key);
+      a->tally->longest_unavailable =
+          MAX (a->tally->longest_unavailable, now - *since);
+      g_hash_table_remove (a->tally->unavailable_since, a->key);
     }
   else if (outcome != CC_OUTCOME_RUN && since == NULL)
-    g_hash_table_insert (a->tally->failing, g_strdup (a->key),
+    g_hash_table_insert (a->tally->unavailable_since, g_strdup (a->key),
                          g_memdup2 (&a->asked, sizeof a->asked));
 }
 
-static void send_ask (Ask *a);
+static void send_call (Call *a);
 
 static gboolean
-on_again (gpointer data)
+on_send_due (gpointer data)
 {
-  send_ask (data);
+  send_call (data);
   return G_SOURCE_REMOVE;
 }
 
-/* Sends A's request again through another entry in MS. */
+/* Sends A's request again after MS, through another entry. */
 static void
-plan_twin (const Ask *a, TwinKind kind, guint ms)
+schedule_duplicate (const Call *a, DuplicateKind kind, guint ms)
 {
-  Ask *twin = g_memdup2 (a, sizeof *a);
+  Call *duplicate = g_memdup2 (a, sizeof *a);
 
-  twin->key = g_strdup (a->key);
-  twin->url_path = g_strdup (a->url_path);
-  twin->is_twin = TRUE;
-  twin->kind = kind;
+  duplicate->key = g_strdup (a->key);
+  duplicate->url_path = g_strdup (a->url_path);
+  duplicate->is_duplicate = TRUE;
+  duplicate->kind = kind;
   a->load->pending++;
-  g_timeout_add (ms, on_again, twin);
+  g_timeout_add (ms, on_send_due, duplicate);
 }
 
+/* Schedules a duplicate after the answer to A, with the probability set. */
 static void
-plan_twin_after (const Ask *a)
+schedule_duplicate_after (const Call *a)
 {
   GRand *rand = a->load->rand;
 
   if (!a->told->once_only ||
-      (guint) g_rand_int_range (rand, 0, 100) >= a->load->twins)
+      (guint) g_rand_int_range (rand, 0, 100) >= a->load->duplicate_percent)
     return;
   if (g_rand_boolean (rand))
-    plan_twin (a, TWIN_AFTER, TWIN_AFTER_MS);
+    schedule_duplicate (a, DUPLICATE_AFTER, DUPLICATE_AFTER_MS);
   else
-    plan_twin (
-        a, TWIN_LATE,
-        (guint) g_rand_int_range (rand, TWIN_LATE_MIN_MS, TWIN_LATE_MAX_MS));
+    schedule_duplicate (a, DUPLICATE_LATE,
+                        (guint) g_rand_int_range (rand, DUPLICATE_LATE_MIN_MS,
+                                                  DUPLICATE_LATE_MAX_MS));
 }
 
 static void
-end_ask (Ask *a)
+end_call (Call *a)
 {
   Load *l = a->load;
 
@@ -212,7 +220,7 @@
   g_free (a->key);
   g_free (a->url_path);
   g_free (a);
-  if (l->over && l->pending == 0)
+  if (l->ended && l->pending == 0)
     g_main_loop_quit (l->loop);
 }
 
@@ -222,38 +230,41 @@
   return r->end == CC_HTTP_ANSWERED ? cc_http_header (r, name) : NULL;
 }
 
+/* Records an answer that belongs to another request: its marker or body differs
+ * from what A sent. */
 static void
-check_answer (Ask *a, const CcHttpResult *r)
+check_answer (Call *a, const CcHttpResult *r)
 {
   const char *marker = header_of (r, "X-Marker");
   const char *reason = header_of (r, CC_HDR_REASON);
 
   if (marker == NULL && reason != NULL && g_str_equal (reason, "repeat"))
-    return; /* an outcome remembered without its body */
+    return; /* a stored outcome has no body */
   if (marker == NULL || !g_str_equal (marker, a->told->marker) ||
       !body_matches (a, r->body))
     a->told->crossed = TRUE;
 }
 
-/* In a calm run each unknown answer is a finding. */
+/* Prints an unknown outcome in a run in which there must be none. */
 static void
-print_unknown (const Ask *a, const CcHttpResult *r, gint64 now)
+print_unknown (const Call *a, const CcHttpResult *r, gint64 now)
 {
   const char *reason = header_of (r, CC_HDR_REASON);
 
   printf ("unknown: key %s, class %s, try %u, twin %d, by %s after "
           "%" G_GINT64_FORMAT " ms, status %u, reason \"%s\"\n",
           a->key, a->tally->class->name, a->tries,
-          a->is_twin ? (int) a->kind : -1, a->entry, (now - a->asked) / CC_MS,
-          r->end == CC_HTTP_ANSWERED ? r->status : 0,
+          a->is_duplicate ? (int) a->kind : -1, a->entry,
+          (now - a->asked) / CC_MS, r->end == CC_HTTP_ANSWERED ? r->status : 0,
           reason != NULL               ? reason
           : r->end != CC_HTTP_ANSWERED ? r->why
                                        : "");
 }
 
-/* For the audit, if what the caller was told is not so. */
+/* Appends an answer to the history that the audit prints if it contradicts the
+ * servers' records. */
 static void
-note_told (const Ask *a, const CcHttpResult *r, CcOutcome outcome)
+record_answer (const Call *a, const CcHttpResult *r, CcOutcome outcome)
 {
   const char *reason = header_of (r, CC_HDR_REASON);
   gint64 now = cc_clock_wall ();
@@ -261,12 +272,13 @@
   g_string_append_printf (
       a->told->answers, "%stry %u twin %d by %s from %.3f to %.3f: %s %s",
       a->told->answers->len > 0 ? "; " : "", a->tries,
-      a->is_twin ? (int) a->kind : -1, a->entry,
+      a->is_duplicate ? (int) a->kind : -1, a->entry,
       (double) (a->sent % (86400 * CC_SECOND)) / 1e6,
       (double) (now % (86400 * CC_SECOND)) / 1e6, cc_outcome_name (outcome),
       reason != NULL ? reason : r->why);
 }
 
+/* Returns the delay before the next attempt that R asks for, 100 ms if none. */
 static guint
 retry_after (const CcHttpResult *r)
 {
@@ -276,36 +288,36 @@
 }
 
 static void
-end_twin (Ask *a, CcOutcome outcome)
+end_duplicate (Call *a, CcOutcome outcome)
 {
-  a->load->twin_told[a->kind][outcome]++;
-  end_ask (a);
+  a->load->duplicate_outcomes[a->kind][outcome]++;
+  end_call (a);
 }
 
 static void
 on_answer (const CcHttpResult *r, gpointer data)
 {
-  Ask *a = data;
+  Call *a = data;
   CcOutcome outcome = outcome_of (r);
   gint64 now = cc_clock_now ();
-  gboolean again = outcome != CC_OUTCOME_RUN && a->tries < a->load->repeats;
+  gboolean retries = outcome != CC_OUTCOME_RUN && a->tries < a->load->repeats;
 
   a->told->told[outcome]++;
   a->told->last = outcome;
-  note_told (a, r, outcome);
-  if (a->load->calm && outcome == CC_OUTCOME_UNKNOWN)
+  record_answer (a, r, outcome);
+  if (a->load->no_unknown && outcome == CC_OUTCOME_UNKNOWN)
     print_unknown (a, r, now);
   if (outcome == CC_OUTCOME_RUN)
     check_answer (a, r);
-  if (a->is_twin)
+  if (a->is_duplicate)
     {
-      end_twin (a, outcome);
+      end_duplicate (a, outcome);
       return;
     }
-  note_availability (a, outcome, now);
-  if (again)
+  update_availability (a, outcome, now);
+  if (retries)
     {
-      g_timeout_add (retry_after (r), on_again, a);
+      g_timeout_add (retry_after (r), on_send_due, a);
       return;
     }
   a->tally->told[outcome]++;
@@ -314,13 +326,13 @@
                     now - a->asked);
   if (outcome == CC_OUTCOME_RUN && now - a->asked <= a->tally->class->within)
     a->tally->in_target++;
-  plan_twin_after (a);
-  end_ask (a);
+  schedule_duplicate_after (a);
+  end_call (a);
 }
 
-/* Request line and headers of A. */
+/* Returns the request line and headers of A, to be freed. */
 static char *
-head_of (const Ask *a)
+head_of (const Call *a)
 {
   GString *s = g_string_new (NULL);
 
@@ -340,9 +352,9 @@
   return g_string_free (s, FALSE);
 }
 
-/* No connection could be opened, as to an entry that has ended. */
+/* No connection could be opened, as to an entry that has exited. */
 static gboolean
-on_unsent (gpointer data)
+on_not_connected (gpointer data)
 {
   CcHttpResult r = { .end = CC_HTTP_UNSENT, .why = "no-connection" };
 
@@ -350,9 +362,9 @@
   return G_SOURCE_REMOVE;
 }
 
-/* What is told of one request that L sends. */
+/* Adds an audit entry for a request of CLASS. */
 static Told *
-told_new (Load *l, const CcClass *class)
+add_told (Load *l, const CcClass *class)
 {
   Told *t = g_new0 (Told, 1);
 
@@ -364,7 +376,7 @@
 }
 
 static void
-send_ask (Ask *a)
+send_call (Call *a)
 {
   Load *l = a->load;
   g_autofree char *head = NULL;
@@ -372,13 +384,13 @@
   CcHttpOrder o = { .body = body,
                     .connect_within = CONNECT_WITHIN,
                     .answer_within = ANSWER_WITHIN,
-                    .idle_max = a->pattern->body > 0 ? 0 : KEEP,
+                    .idle_max = a->pattern->body > 0 ? 0 : IDLE_MAX,
                     .closes = a->pattern->body > 0 };
 
-  /* Nothing ties a repeat without a key to the attempt before it: each is told
-   * of itself. */
+  /* Without an idempotency key an attempt has no relation to the one before it
+   * and gets its own audit entry. */
   if (a->tries > 0 && !a->told->once_only)
-    a->told = told_new (l, a->pattern->class);
+    a->told = add_told (l, a->pattern->class);
   a->tries++;
   a->sent = cc_clock_wall ();
   a->entry = balancer_pick (l->balancer, l->rand, a->entry);
@@ -386,7 +398,7 @@
   o.address = a->entry;
   o.head = head;
   if (cc_http_send (l->http, &o, on_answer, a) == NULL)
-    g_idle_add (on_unsent, a);
+    g_idle_add (on_not_connected, a);
 }
 
 static Tally *
@@ -398,10 +410,11 @@
   return NULL;
 }
 
+/* Draws the key of an arrival of P and sends its request. */
 static void
-new_ask (Load *l, const Pattern *p)
+start_call (Load *l, const Pattern *p)
 {
-  Ask *a = g_new0 (Ask, 1);
+  Call *a = g_new0 (Call, 1);
   guint number = (guint) g_rand_int_range (l->rand, 0, (gint32) p->keys);
   g_auto (GStrv) key = g_strsplit (p->key, "%u", 2);
   g_auto (GStrv) path = g_strsplit (p->path, "%u", 2);
@@ -414,13 +427,13 @@
   a->url_path = g_strjoinv (digits, path);
   a->asked = cc_clock_now ();
   a->body_seed = g_rand_int (l->rand);
-  a->told = told_new (l, p->class);
+  a->told = add_told (l, p->class);
   a->tally->asked++;
   l->pending++;
-  send_ask (a);
+  send_call (a);
   if (a->told->once_only &&
-      (guint) g_rand_int_range (l->rand, 0, 100) < l->twins)
-    plan_twin (a, TWIN_DURING, TWIN_DURING_MS);
+      (guint) g_rand_int_range (l->rand, 0, 100) < l->duplicate_percent)
+    schedule_duplicate (a, DUPLICATE_DURING, DUPLICATE_DURING_MS);
 }
 
 typedef struct
@@ -443,9 +456,9 @@
           -log (1.0 - g_rand_double (l->rand)) / (r->pattern->rate * l->scale);
 
       if (l->pending < PENDING_MAX)
-        new_ask (l, r->pattern);
+        start_call (l, r->pattern);
       else
-        l->left_out++;
+        l->skipped++;
       r->next += (gint64) (gap * 1e6);
     }
   if (now < l->until)
@@ -463,10 +476,10 @@
            l->told->len, l->pending, MAX (left, 0));
   if (cc_clock_now () < l->until)
     return G_SOURCE_CONTINUE;
-  l->over = TRUE;
+  l->ended = TRUE;
   fprintf (stderr, "\n");
-  if (l->left_out > 0)
-    fprintf (stderr, "%u arrivals were left out\n", l->left_out);
+  if (l->skipped > 0)
+    fprintf (stderr, "%u arrivals were skipped\n", l->skipped);
   if (l->pending == 0)
     g_main_loop_quit (l->loop);
   return G_SOURCE_REMOVE;
@@ -521,7 +534,7 @@
       Tally *t = g_new0 (Tally, 1);
 
       t->class = l->document->classes->pdata[i];
-      t->failing =
+      t->unavailable_since =
           g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
       g_ptr_array_add (l->tallies, t);
     }
@@ -551,20 +564,21 @@
               (double) cc_histogram_quantile (&t->latency, 0.5) / 1e3,
               (double) cc_histogram_quantile (&t->latency, 0.99) / 1e3,
               (double) cc_histogram_quantile (&t->latency, 0.999) / 1e3,
-              t->longest / CC_MS, met ? "met" : "MISSED");
+              t->longest_unavailable / CC_MS, met ? "met" : "MISSED");
     }
 }
 
-/* Returns how many kinds of twins did not occur. */
+/* Prints the outcomes of duplicates by kind.  Returns how many kinds did not
+ * occur. */
 static guint
-print_twins (const Load *l)
+print_duplicates (const Load *l)
 {
   static const char *const names[] = { "during", "after", "late" };
   guint missing = 0;
 
-  for (guint i = 0; i < TWIN_KINDS && l->twins > 0; i++)
+  for (guint i = 0; i < DUPLICATE_KINDS && l->duplicate_percent > 0; i++)
     {
-      const guint *t = l->twin_told[i];
+      const guint *t = l->duplicate_outcomes[i];
 
       printf ("repeats %-6s: %u run, %u not-run, %u unknown\n", names[i], t[0],
               t[1], t[2]);
@@ -573,6 +587,7 @@
   return missing;
 }
 
+/* Returns the number of unknown answers, and prints it where none may be. */
 static guint
 count_unknown (const Load *l)
 {
@@ -580,11 +595,13 @@
 
   for (guint i = 0; i < l->told->len; i++)
     n += ((const Told *) l->told->pdata[i])->told[CC_OUTCOME_UNKNOWN];
-  if (l->calm && n > 0)
+  if (l->no_unknown && n > 0)
     printf ("%u answers are unknown, none may be\n", n);
   return n;
 }
 
+/* Compares the answers with the servers' records in FOLDER.  Returns 1 if the
+ * audit found a fault. */
 static int
 print_audit (Load *l, const char *folder)
 {
@@ -611,22 +628,28 @@
 {
   CcSetting settings[] = {
     { CC_SETTING_STRING, "instance", "load", "name in logs", 0, 0, NULL },
-    { CC_SETTING_ADDRESSES, "entries", NULL, "where to send", 0, 0, NULL },
-    { CC_SETTING_STRING, "deployment", NULL, "file with requests", 0, 0, NULL },
-    { CC_SETTING_STRING, "records", NULL, "folder of servers' records", 0, 0,
+    { CC_SETTING_ADDRESSES, "entries", NULL, "addresses to send to", 0, 0,
       NULL },
-    { CC_SETTING_ADDRESS, "source", "127.0.0.1:1", "where callers are", 0, 0,
+    { CC_SETTING_STRING, "deployment", NULL,
+      "deployment file with request patterns", 0, 0, NULL },
+    { CC_SETTING_STRING, "records", NULL, "folder of the servers' records", 0,
+      0, NULL },
+    { CC_SETTING_ADDRESS, "source", "127.0.0.1:1", "source address of callers",
+      0, 0, NULL },
+    { CC_SETTING_NUMBER, "seconds", "20", "duration of the load", 1, 3600,
       NULL },
-    { CC_SETTING_NUMBER, "seconds", "20", "how long", 1, 3600, NULL },
-    { CC_SETTING_NUMBER, "seed", "1", "of the arrivals", 0, G_MAXINT32, NULL },
-    { CC_SETTING_NUMBER, "percent", "100", "of the patterns' rates", 1, 10000,
+    { CC_SETTING_NUMBER, "seed", "1", "seed of the arrivals", 0, G_MAXINT32,
       NULL },
-    { CC_SETTING_NUMBER, "twins", "0", "percent of once-only sent again", 0,
-      100, NULL },
-    { CC_SETTING_NUMBER, "calm", "0", "fail on any unknown", 0, 1, NULL },
-    { CC_SETTING_NUMBER, "health-port", "0", "entries' /readyz; 0: not asked",
-      0, 65535, NULL },
-    { CC_SETTING_NUMBER, "repeats", "1", "tries until run", 1, 1000, NULL },
+    { CC_SETTING_NUMBER, "percent", "100",
+      "load in percent of the patterns' rates", 1, 10000, NULL },
+    { CC_SETTING_NUMBER, "twins", "0",
+      "percent of once-only requests sent twice", 0, 100, NULL },
+    { CC_SETTING_NUMBER, "calm", "0", "1: fail on any unknown outcome", 0, 1,
+      NULL },
+    { CC_SETTING_NUMBER, "health-port", "0",
+      "port of /readyz on entries; 0: not polled", 0, 65535, NULL },
+    { CC_SETTING_NUMBER, "repeats", "1",
+      "attempts at each request until it ran", 1, 1000, NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   g_autofree char *ip = NULL;
@@ -648,8 +671,8 @@
   l.session = cc_http_client (cc_setting (settings, "source"), 4);
   cc_address_parse (cc_setting (settings, "source"), &ip, NULL);
   l.http = cc_http_new (ip);
-  l.twins = (guint) cc_setting_number (settings, "twins");
-  l.calm = cc_setting_number (settings, "calm") != 0;
+  l.duplicate_percent = (guint) cc_setting_number (settings, "twins");
+  l.no_unknown = cc_setting_number (settings, "calm") != 0;
   l.balancer = balancer_new (
       cc_setting_list (settings, "entries"),
       (guint) cc_setting_number (settings, "health-port"), l.session);
@@ -669,8 +692,8 @@
   g_timeout_add (SETTLE_MS, on_settled, l.loop);
   g_main_loop_run (l.loop);
   print_table (&l);
-  failed = print_twins (&l) > 0;
-  if (l.calm)
+  failed = print_duplicates (&l) > 0;
+  if (l.no_unknown)
     failed |= count_unknown (&l) > 0;
   failed |= print_audit (&l, cc_setting (settings, "records")) != 0;
   return failed;
