--- a/test/demo.c
+++ b/test/demo.c
@@ -1,10 +1,12 @@
-/* The gateways as they are run: three processes on loopback, the platform's
- * table, servers of two pools and callers.  A key grows hot, a server is lost,
- * another joins, one leaves, and the gateway that grants keys is killed and
- * started again.  Prints a line each second and an audit at the end.
+/* A demonstration on loopback: three gateway processes as in production, with
+ * the platform's table, the servers of two pools and the callers simulated by
+ * this process.  A key becomes hot, a server crashes, another joins, one
+ * leaves, and the gateway that grants keys is killed and restarted.  Prints a
+ * line each second and an audit at the end; exits with 0 if the audit found no
+ * fault.
  *
  *   demo --keep 120
- * goes on for 120 s after the audit.  Ends with 0 if the audit found nothing.
+ * keeps the gateways running for 120 s after the audit.
  */
 #include <signal.h>
 #include <stdio.h>
@@ -18,17 +20,17 @@
 #include "settings.h"
 #include "soak.h"
 
-#define PER_SECOND 200
-#define TARGET (400 * CC_MS) /* of the routes */
+#define PER_SECOND 200       /* requests */
+#define TARGET (400 * CC_MS) /* targetLatencyMs of the routes */
 #define HOT_KEY 4711
 #define HOT_PERCENT 50
-#define LOOK_MS 100
+#define POLL_MS 100
 #define START_MAX (6 * CC_SECOND)
-/* After the last question: callers wait 2.5 s for an answer at most. */
+/* From the last request to the audit: callers time out after 2.5 s. */
 #define SETTLE_MS 2600
-/* If the main loop hangs, the run ends all the same, as failed. */
+/* SIGALRM ends the run as failed if the main loop hangs. */
 #define ALARM_SECONDS 90
-#define SAMPLE "demo-1"
+#define SAMPLE_ID "demo-1"
 
 static struct
 {
@@ -36,25 +38,25 @@
   guint keep; /* s */
   GMainLoop *loop;
   DemoCallers callers;
-  gint64 began;
+  gint64 started;
   guint second;
-  guint in_time, late, refused, failed; /* in this second */
-  guint answered;                       /* in all */
-  char *done;                           /* since the last line */
+  guint in_time, late, refused, failed; /* in the present second */
+  guint answered;                       /* since the start */
+  char *actions; /* since the last line printed; NULL: none */
   int code;
 } demo;
 
-/* ---- what happens when ---- */
+/* ---- steps ---- */
 
 static char *
-begin_callers (void)
+start_callers (void)
 {
   demo_callers_start (&demo.callers, demo_fleet_callers_ip (), PER_SECOND);
-  return g_strdup_printf ("%u requests a second begin", PER_SECOND);
+  return g_strdup_printf ("callers start, %u requests a second", PER_SECOND);
 }
 
 static char *
-heat_key (void)
+make_key_hot (void)
 {
   demo.callers.hot_key = HOT_KEY;
   demo.callers.hot_percent = HOT_PERCENT;
@@ -63,10 +65,10 @@
 }
 
 static char *
-cool_key (void)
+end_hot_key (void)
 {
   demo.callers.hot_percent = 0;
-  return g_strdup ("no key is hot any more");
+  return g_strdup ("no key is hot");
 }
 
 static char *
@@ -84,7 +86,7 @@
 static char *
 drain_server (void)
 {
-  return g_strdup_printf ("server %s says that it leaves",
+  return g_strdup_printf ("server %s announces that it leaves",
                           demo_fleet_drain_server ());
 }
 
@@ -98,24 +100,24 @@
 static char *
 restart_gateway (void)
 {
-  return g_strdup_printf ("gateway %s is started again", demo_fleet_restart ());
+  return g_strdup_printf ("gateway %s is restarted", demo_fleet_restart ());
 }
 
 typedef struct
 {
   guint second;
-  char *(*act) (void); /* returns what was done */
+  char *(*run) (void); /* returns a description, to be freed */
 } Step;
 
 static const Step steps[] = {
-  { 0, begin_callers },    { 1, heat_key },      { 3, lose_server },
-  { 8, add_server },       { 9, cool_key },      { 12, kill_granter },
+  { 0, start_callers },    { 1, make_key_hot },  { 3, lose_server },
+  { 8, add_server },       { 9, end_hot_key },   { 12, kill_granter },
   { 14, restart_gateway }, { 16, drain_server },
 };
 
 #define SECONDS 18
 
-/* ---- lines ---- */
+/* ---- output ---- */
 
 static void
 on_answer (guint status, gint64 took)
@@ -145,11 +147,12 @@
 
   printf ("%3u %8u %5u %8u %7u %7u %8.1f%%%s%s\n", demo.second, demo.in_time,
           demo.late, demo.refused, demo.failed, owners,
-          100.0 * (SOAK_KEYS - held) / SOAK_KEYS, demo.done != NULL ? "  " : "",
-          demo.done != NULL ? demo.done : "");
+          100.0 * (SOAK_KEYS - held) / SOAK_KEYS,
+          demo.actions != NULL ? "  " : "",
+          demo.actions != NULL ? demo.actions : "");
   fflush (stdout);
   demo.in_time = demo.late = demo.refused = demo.failed = 0;
-  g_clear_pointer (&demo.done, g_free);
+  g_clear_pointer (&demo.actions, g_free);
 }
 
 static void
@@ -169,7 +172,7 @@
   printf ("%s\n", demo.code == 0 ? "passed" : "FAILED");
 }
 
-/* ---- the end ---- */
+/* ---- after the run ---- */
 
 static void
 on_stopped (void)
@@ -178,14 +181,14 @@
 }
 
 static gboolean
-on_keep_over (gpointer unused)
+on_keep_elapsed (gpointer unused)
 {
   demo_fleet_stop (on_stopped);
   return G_SOURCE_REMOVE;
 }
 
 static void
-print_next (guint status, const char *body)
+print_hints (guint status, const char *body)
 {
   g_autofree char *listen = demo_fleet_address (0, GATEWAY_LISTEN);
   g_autofree char *admin = demo_fleet_address (0, GATEWAY_ADMIN);
@@ -194,11 +197,11 @@
           demo.keep > 0 ? ""
                         : ", with `make demo KEEP=120`, which goes on for "
                           "120 s and says where");
-  printf ("  curl -i -H 'Host: a.example' -H 'X-Request-Id: " SAMPLE
+  printf ("  curl -i -H 'Host: a.example' -H 'X-Request-Id: " SAMPLE_ID
           "' -H 'X-Deadline-Ms: 1000' \\\n    -H 'X-Shard-Key: %d' "
           "http://%s/look/1\n    # %u, %s\n",
           HOT_KEY, listen, status, body);
-  printf ("  grep -h '\"" SAMPLE "\"' %s/*.log   # the decisions about it\n",
+  printf ("  grep -h '\"" SAMPLE_ID "\"' %s/*.log   # the decisions about it\n",
           demo.folder);
   printf ("  grep -h '\"outcome\":\"not-run\"' %s/*.log   # who was refused, "
           "and why\n",
@@ -212,17 +215,18 @@
 on_sample (guint status, const char *body, gpointer unused)
 {
   print_audit ();
-  print_next (status, body);
-  g_timeout_add (demo.keep * 1000, on_keep_over, NULL);
+  print_hints (status, body);
+  g_timeout_add (demo.keep * 1000, on_keep_elapsed, NULL);
 }
 
-/* All answers are here; one request more, for the reader to follow. */
+/* All answers have arrived.  Sends one more request, whose log lines the hints
+ * show how to find. */
 static gboolean
 on_settled (gpointer unused)
 {
   g_autofree char *listen = demo_fleet_address (0, GATEWAY_LISTEN);
   g_autofree char *head = g_strdup_printf (
-      "GET /look/1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: " SAMPLE
+      "GET /look/1 HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: " SAMPLE_ID
       "\r\nX-Deadline-Ms: 1000\r\nX-Shard-Key: %d\r\n",
       HOT_KEY);
 
@@ -230,24 +234,24 @@
   return G_SOURCE_REMOVE;
 }
 
-/* ---- standstills of this process, which plays table, servers and callers ----
+/* ---- stalls of this process, which simulates table, servers and callers ----
  */
 
-#define PULSE_MS 20
-#define STANDSTILL (300 * CC_MS)
+#define STALL_CHECK_MS 20
+#define STALL_MIN (300 * CC_MS)
 
-/* What the kernel counts of this thread, us. */
+/* Scheduler statistics of this thread, us. */
 typedef struct
 {
   gint64 at;
-  gint64 worked; /* on a processor */
-  gint64 waited; /* ready to run, for one */
-} Pulse;
+  gint64 worked; /* running on a processor */
+  gint64 waited; /* runnable, in the run queue */
+} ThreadTimes;
 
-static Pulse
-take_pulse (void)
+static ThreadTimes
+read_thread_times (void)
 {
-  Pulse p = { .at = cc_clock_now () };
+  ThreadTimes p = { .at = cc_clock_now () };
   g_autofree char *text = NULL;
   guint64 worked = 0, waited = 0;
 
@@ -261,30 +265,32 @@
   return p;
 }
 
+/* Reports a stall of the main loop: delays in it are those of the table, the
+ * servers and the callers, not of the gateways. */
 static gboolean
-on_pulse (gpointer unused)
+check_stall (gpointer unused)
 {
-  static Pulse last;
-  Pulse now = take_pulse ();
+  static ThreadTimes previous;
+  ThreadTimes now = read_thread_times ();
 
-  if (last.at != 0 && now.at - last.at > STANDSTILL)
-    printf ("this process stood still for %d ms: %d ms at work, %d ms waiting "
+  if (previous.at != 0 && now.at - previous.at > STALL_MIN)
+    printf ("this process stalled for %d ms: %d ms running, %d ms waiting "
             "for a processor\n",
-            (int) ((now.at - last.at) / CC_MS),
-            (int) ((now.worked - last.worked) / CC_MS),
-            (int) ((now.waited - last.waited) / CC_MS));
-  last = now;
+            (int) ((now.at - previous.at) / CC_MS),
+            (int) ((now.worked - previous.worked) / CC_MS),
+            (int) ((now.waited - previous.waited) / CC_MS));
+  previous = now;
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- the run ---- */
+/* ---- timeline ---- */
 
 static void
-act (void)
+run_steps (void)
 {
   for (guint i = 0; i < G_N_ELEMENTS (steps); i++)
     if (steps[i].second == demo.second)
-      demo.done = steps[i].act ();
+      demo.actions = steps[i].run ();
 }
 
 static gboolean
@@ -296,7 +302,7 @@
   demo_fleet_balance (demo.callers.gateways);
   if (demo.second < SECONDS)
     {
-      act ();
+      run_steps ();
       return G_SOURCE_CONTINUE;
     }
   demo_callers_stop ();
@@ -305,9 +311,9 @@
 }
 
 static gboolean
-on_look (gpointer unused)
+on_poll (gpointer unused)
 {
-  gint64 took = cc_clock_now () - demo.began;
+  gint64 took = cc_clock_now () - demo.started;
 
   demo_fleet_poll ();
   if (demo_fleet_is_ready ())
@@ -316,7 +322,7 @@
               (double) took / CC_SECOND, demo_fleet_granter ());
       print_head ();
       demo_fleet_balance (demo.callers.gateways);
-      act ();
+      run_steps ();
       g_timeout_add (1000, on_second, NULL);
       return G_SOURCE_REMOVE;
     }
@@ -335,12 +341,12 @@
   CcSetting settings[] = {
     { CC_SETTING_STRING, "instance", "demo", "name in logs", 0, 0, NULL },
     { CC_SETTING_STRING, "bin", "build", "folder of the programs", 0, 0, NULL },
-    { CC_SETTING_NUMBER, "keep", "0", "seconds to go on after the audit", 0,
-      3600, NULL },
+    { CC_SETTING_NUMBER, "keep", "0",
+      "seconds that the gateways run on after the audit", 0, 3600, NULL },
     { 0 }
   };
 
-  if (cc_settings_read (settings, "demo", "Gateways on loopback, to look at.",
+  if (cc_settings_read (settings, "demo", "Demonstrates gateways on loopback.",
                         argc, argv) != CC_START_RUN)
     return 2;
   signal (SIGPIPE, SIG_IGN);
@@ -350,14 +356,14 @@
                                  (guint) getpid ());
   g_mkdir_with_parents (demo.folder, 0755);
   demo.loop = g_main_loop_new (NULL, FALSE);
-  demo.began = cc_clock_now ();
+  demo.started = cc_clock_now ();
   printf ("%d gateways, %d servers; logs in %s\n", DEMO_GATEWAYS,
           DEMO_SERVERS - 1, demo.folder);
   demo_fleet_start (cc_setting (settings, "bin"), demo.folder);
   demo.callers.gateways = g_new0 (char *, DEMO_GATEWAYS + 1);
   demo.callers.ended = on_answer;
-  g_timeout_add (LOOK_MS, on_look, NULL);
-  g_timeout_add (PULSE_MS, on_pulse, NULL);
+  g_timeout_add (POLL_MS, on_poll, NULL);
+  g_timeout_add (STALL_CHECK_MS, check_stall, NULL);
   g_main_loop_run (demo.loop);
   return demo.code;
 }
--- a/test/demo_caller.c
+++ b/test/demo_caller.c
@@ -1,5 +1,5 @@
-/* Each request has an id of its own and goes to a gateway drawn by lot, on a
- * connection that is kept; what comes back is audited. */
+/* Sends requests at a constant rate, each with a unique id and to a random
+ * gateway, over keep-alive connections, and passes the answers to the audit. */
 #include "demo_caller.h"
 
 #include "clock.h"
@@ -9,10 +9,11 @@
 #define DEADLINE_MS 1500
 #define ANSWER_WITHIN (2500 * CC_MS)
 #define CONNECT_WITHIN (1000 * CC_MS)
-#define KEEP (6 * CC_SECOND)
+#define IDLE_MAX (6 * CC_SECOND)
 #define TICK_MS 10
 
-/* What callers ask for; routes of the demo's configuration. */
+/* The requests, drawn with equal probability; routes of the demo's
+ * configuration. */
 static const struct
 {
   const char *method, *prefix;
@@ -50,9 +51,9 @@
   g_free (c);
 }
 
-/* No connection could be opened, as to a gateway that was killed. */
+/* No connection could be opened, as to a killed gateway. */
 static gboolean
-on_unsent (gpointer call)
+on_not_connected (gpointer call)
 {
   CcHttpResult r = { .end = CC_HTTP_UNSENT };
 
@@ -60,6 +61,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Returns the hot key with the probability of the caller settings, or else any
+ * key. */
 static gint32
 draw_key (void)
 {
@@ -69,7 +72,7 @@
 }
 
 static void
-ask (void)
+send_request (void)
 {
   static guint64 next_id;
   guint k = (guint) g_random_int_range (0, G_N_ELEMENTS (kinds));
@@ -79,7 +82,7 @@
   Call *c = g_new0 (Call, 1);
   CcHttpOrder o = { .connect_within = CONNECT_WITHIN,
                     .answer_within = ANSWER_WITHIN,
-                    .idle_max = KEEP };
+                    .idle_max = IDLE_MAX };
 
   c->id = g_strdup_printf ("q%" G_GUINT64_FORMAT, next_id++);
   c->asked = cc_clock_now ();
@@ -95,7 +98,7 @@
   o.body = kinds[k].once ? body : NULL;
   soak_audit_asked (c->id, kinds[k].once);
   if (cc_http_send (http, &o, on_done, c) == NULL)
-    g_idle_add (on_unsent, c);
+    g_idle_add (on_not_connected, c);
 }
 
 static gboolean
@@ -104,11 +107,11 @@
   static guint due;
 
   for (due += per_tick_permille; due >= 1000; due -= 1000)
-    ask ();
+    send_request ();
   return G_SOURCE_CONTINUE;
 }
 
-/* C asks from now on, PER_SECOND times, from the address IP. */
+/* Starts to send PER_SECOND requests a second for C, from the address IP. */
 void
 demo_callers_start (DemoCallers *c, const char *ip, guint per_second)
 {
@@ -118,7 +121,7 @@
   timer = g_timeout_add (TICK_MS, on_tick, NULL);
 }
 
-/* Nothing more is asked. */
+/* Sends no further requests; those in flight complete. */
 void
 demo_callers_stop (void)
 {
--- a/test/demo_caller.h
+++ b/test/demo_caller.h
@@ -1,4 +1,4 @@
-/* The demo's callers. */
+/* The simulated callers of the demo. */
 #ifndef TEST_DEMO_CALLER_H
 #define TEST_DEMO_CALLER_H
 
@@ -6,10 +6,11 @@
 
 typedef struct
 {
-  char **gateways;   /* addresses; at least one */
-  guint hot_percent; /* of the requests with a key are for HOT_KEY */
+  char **gateways;   /* addresses, NULL-terminated; at least one */
+  guint hot_percent; /* of keyed requests that are for HOT_KEY */
   gint32 hot_key;
-  /* Called with each answer, its STATUS (0: none) and the us that it took. */
+  /* Called when a request completes, with the HTTP STATUS (0: no response) and
+   * the time that it TOOK in us. */
   void (*ended) (guint status, gint64 took);
 } DemoCallers;
 
--- a/test/demo_fleet.c
+++ b/test/demo_fleet.c
@@ -1,5 +1,6 @@
-/* Gateways are the real program, each at an IP of its own; the table and the
- * servers are played by this process, with the stand-ins of the soak. */
+/* Runs the real gateway program, each process with its own loopback IP; the
+ * table and the servers run in this process, with the simulations of the soak
+ * test. */
 #include "demo_fleet.h"
 
 #include <signal.h>
@@ -11,15 +12,14 @@
 #include "gateway_process.h"
 #include "soak.h"
 
-#define KEYED                                                                  \
-  5 /* servers of the pool that owns keys, and the one that joins              \
-     */
+/* Servers of the pool that owns keys, without the one that joins. */
+#define KEYED_SERVERS 5
 #define STOP_GRACE_MS 3000
 #define ANSWER_WITHIN (1000 * CC_MS)
 #define SERVER_PORT 7200
-/* The servers that leave; both own keys. */
-#define LOST 1
-#define DRAINED 3
+/* Indexes of the servers that crash and drain; both own keys. */
+#define CRASHED_SERVER 1
+#define DRAINED_SERVER 3
 
 typedef struct
 {
@@ -28,9 +28,9 @@
   char *listen;         /* for callers */
   GSubprocess *process; /* NULL: not running */
   guint runs;
-  gboolean ready;  /* by its last answer */
-  gboolean grants; /* keys, by its last answer */
-  gboolean knows;  /* the owners of all keys, by its last answer */
+  gboolean ready;        /* by its last response */
+  gboolean grants;       /* keys, by its last response */
+  gboolean knows_owners; /* of all keys, by its last response */
 } Gateway;
 
 static struct
@@ -66,13 +66,14 @@
   return g_strdup_printf ("127.%u.0.2:7000", fleet.net);
 }
 
-/* PORT of gateway I, "IP:PORT", to be freed. */
+/* Returns the address "IP:PORT" of gateway I, to be freed. */
 char *
 demo_fleet_address (guint i, guint port)
 {
   return g_strdup_printf ("%s:%u", fleet.gateways[i].ip, port);
 }
 
+/* Returns the source address of callers; static storage. */
 const char *
 demo_fleet_callers_ip (void)
 {
@@ -104,7 +105,8 @@
   g_free (c);
 }
 
-/* Sends a request with HEAD, its first line and headers, to ADDRESS. */
+/* Sends a request with HEAD, the request line and headers, to ADDRESS.  Calls
+ * DONE, at once if no connection can be opened. */
 void
 demo_fleet_get (const char *address, const char *head, DemoAnswered done,
                 gpointer data)
@@ -137,11 +139,12 @@
   Gateway *g = data;
 
   g->grants = strstr (body, "capercrank_grants_keys{} 1") != NULL;
-  g->knows =
+  g->knows_owners =
       strstr (body, "capercrank_keys_owned{pool=\"keys\"} 65536") != NULL;
 }
 
-/* Asks all gateways how they are. */
+/* Polls the readiness and metrics of all gateways; the responses arrive
+ * later. */
 void
 demo_fleet_poll (void)
 {
@@ -157,7 +160,7 @@
     }
 }
 
-/* The gateway that grants keys, by what they said last. */
+/* Returns the gateway that grants keys by the last poll, or NULL. */
 static Gateway *
 granter (void)
 {
@@ -167,12 +170,12 @@
   return NULL;
 }
 
-/* Whether all gateways take requests and know an owner of each key. */
+/* Returns whether all gateways are ready and know an owner of each key. */
 gboolean
 demo_fleet_is_ready (void)
 {
   for (guint i = 0; i < DEMO_GATEWAYS; i++)
-    if (!fleet.gateways[i].ready || !fleet.gateways[i].knows)
+    if (!fleet.gateways[i].ready || !fleet.gateways[i].knows_owners)
       return FALSE;
   return granter () != NULL;
 }
@@ -186,7 +189,7 @@
 }
 
 static gboolean
-some_run (void)
+is_any_running (void)
 {
   for (guint i = 0; i < DEMO_GATEWAYS; i++)
     if (fleet.gateways[i].process != NULL)
@@ -195,7 +198,7 @@
 }
 
 static void
-on_ended (GObject *process, GAsyncResult *result, gpointer data)
+on_exit_of_gateway (GObject *process, GAsyncResult *result, gpointer data)
 {
   Gateway *g = data;
 
@@ -204,7 +207,7 @@
     soak_audit_fail ("%s ended by itself", g->name);
   g->grants = FALSE;
   g_clear_object (&g->process);
-  if (fleet.stopped != NULL && !some_run ())
+  if (fleet.stopped != NULL && !is_any_running ())
     fleet.stopped ();
 }
 
@@ -225,17 +228,17 @@
                          .log = log };
 
   g->process = gateway_spawn (&place, NULL);
-  g_subprocess_wait_async (g->process, NULL, on_ended, g);
+  g_subprocess_wait_async (g->process, NULL, on_exit_of_gateway, g);
 }
 
-/* ---- the whole ---- */
+/* ---- start ---- */
 
 static void
 start_servers (void)
 {
   for (guint i = 0; i < DEMO_SERVERS; i++)
     {
-      gboolean keyed = i < KEYED || i == DEMO_SERVERS - 1;
+      gboolean keyed = i < KEYED_SERVERS || i == DEMO_SERVERS - 1;
       g_autofree char *address =
           g_strdup_printf ("127.%u.3.%u:%u", fleet.net, i + 1, SERVER_PORT);
 
@@ -247,6 +250,7 @@
     }
 }
 
+/* Starts the table, the servers and all gateways. */
 void
 demo_fleet_start (const char *bin, const char *folder)
 {
@@ -271,9 +275,9 @@
     }
 }
 
-/* Fills LIST, of DEMO_GATEWAYS addresses and NULL, with where callers are sent:
- * to the gateways that said they are ready when asked last, as a balancer does
- * it; to all if none did. */
+/* Fills LIST, which holds DEMO_GATEWAYS addresses and NULL, with the
+ * gateways that were ready at the last poll, as a load balancer does; with all
+ * if none was. */
 void
 demo_fleet_balance (char **list)
 {
@@ -288,7 +292,7 @@
     list[n] = NULL;
 }
 
-/* ---- what is done to it; each returns the name of what it was done to ---- */
+/* ---- faults and changes; each returns the name of the process ---- */
 
 static const char *
 server_name (guint i)
@@ -302,8 +306,8 @@
 const char *
 demo_fleet_lose_server (void)
 {
-  soak_server_crash (fleet.servers[LOST]);
-  return server_name (LOST);
+  soak_server_crash (fleet.servers[CRASHED_SERVER]);
+  return server_name (CRASHED_SERVER);
 }
 
 const char *
@@ -316,11 +320,12 @@
 const char *
 demo_fleet_drain_server (void)
 {
-  soak_server_drain (fleet.servers[DRAINED]);
-  return server_name (DRAINED);
+  soak_server_drain (fleet.servers[DRAINED_SERVER]);
+  return server_name (DRAINED_SERVER);
 }
 
-/* Kills the gateway that grants keys, or the first one if none said so. */
+/* Kills the gateway that grants keys, or the first one if none does by the last
+ * poll. */
 const char *
 demo_fleet_kill_granter (void)
 {
@@ -332,6 +337,7 @@
   return fleet.killed->name;
 }
 
+/* Restarts the gateway that was killed. */
 const char *
 demo_fleet_restart (void)
 {
@@ -344,7 +350,7 @@
 }
 
 static gboolean
-on_grace_over (gpointer unused)
+on_grace_elapsed (gpointer unused)
 {
   for (guint i = 0; i < DEMO_GATEWAYS; i++)
     {
@@ -352,13 +358,14 @@
 
       if (g->process == NULL)
         continue;
-      printf ("%s did not end in %d ms and is killed\n", g->name,
+      printf ("%s did not exit within %d ms and is killed\n", g->name,
               STOP_GRACE_MS);
       g_subprocess_send_signal (g->process, SIGKILL);
     }
   return G_SOURCE_REMOVE;
 }
 
+/* Sends all gateways SIGTERM, and SIGKILL after STOP_GRACE_MS. */
 void
 demo_fleet_stop (void (*done) (void))
 {
@@ -366,8 +373,8 @@
   for (guint i = 0; i < DEMO_GATEWAYS; i++)
     if (fleet.gateways[i].process != NULL)
       g_subprocess_send_signal (fleet.gateways[i].process, SIGTERM);
-  if (!some_run ())
+  if (!is_any_running ())
     done ();
   else
-    g_timeout_add (STOP_GRACE_MS, on_grace_over, NULL);
+    g_timeout_add (STOP_GRACE_MS, on_grace_elapsed, NULL);
 }
--- a/test/demo_fleet.h
+++ b/test/demo_fleet.h
@@ -1,4 +1,5 @@
-/* The processes of the demo: gateways, and the servers that it plays. */
+/* The gateway processes of the demo and the table and servers that it
+ * simulates. */
 #ifndef TEST_DEMO_FLEET_H
 #define TEST_DEMO_FLEET_H
 
@@ -7,12 +8,13 @@
 #include "http_link.h"
 
 #define DEMO_GATEWAYS 3
-#define DEMO_SERVERS 10 /* the last one joins later */
+#define DEMO_SERVERS 10 /* the last one joins during the run */
 
-/* An answer of a process: its status (0: none) and body, valid in the call. */
+/* Called with the HTTP status (0: no response) and the body, which is valid
+ * during the call only. */
 typedef void (*DemoAnswered) (guint status, const char *body, gpointer data);
 
-/* BIN: folder of the programs.  FOLDER: for logs. */
+/* BIN: folder of the programs.  FOLDER: receives the logs. */
 void demo_fleet_start (const char *bin, const char *folder);
 void demo_fleet_balance (char **list);
 void demo_fleet_get (const char *address, const char *head, DemoAnswered done,
@@ -29,7 +31,7 @@
 const char *demo_fleet_kill_granter (void);
 const char *demo_fleet_restart (void);
 
-/* DONE is called when all gateways have ended. */
+/* DONE is called when all gateways have exited. */
 void demo_fleet_stop (void (*done) (void));
 
 #endif
--- a/test/demo_path.c
+++ b/test/demo_path.c
@@ -1,11 +1,13 @@
-/* The path of entry, dispatcher and assigner: starts a deployment, drives its
- * workloads, prints the table and the audit, and ends everything.
- *   demo_path DEPLOYMENT [SECONDS [PERCENT]] */
+/* A demonstration of the path through entry, dispatcher and assigner: starts a
+ * deployment, sends its load, prints latencies and the audit, and stops it.
+ *   demo_path DEPLOYMENT [SECONDS [PERCENT]]
+ * Exits with 0 if the audit found no fault. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "harness.h"
 
+/* Returns argument AT as a number, FALLBACK if there is none. */
 static guint
 number (int argc, char **argv, int at, guint fallback)
 {
