--- a/test/bare_relay.c
+++ b/test/bare_relay.c
@@ -1,5 +1,5 @@
-/* The least that a relay by libsoup can do: each request is sent on, its
- * answer handed back.  What bench_path compares the router with. */
+/* A minimal HTTP relay on libsoup: forwards each request and returns the
+ * answer, without any decision.  bench_path uses it as the baseline. */
 #include <stdio.h>
 
 #include "admin.h"
@@ -76,8 +76,8 @@
 main (int argc, char **argv)
 {
   CcSetting settings[] = {
-    { CC_SETTING_ADDRESS, "listen", NULL, "where callers connect", 0, 0, NULL },
-    { CC_SETTING_ADDRESS, "to", NULL, "the server", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "listen", NULL, "address for callers", 0, 0, NULL },
+    { CC_SETTING_ADDRESS, "to", NULL, "address of the server", 0, 0, NULL },
     { CC_SETTING_STRING, NULL, NULL, NULL, 0, 0, NULL }
   };
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
@@ -85,8 +85,8 @@
   g_autofree char *message = NULL;
   Relay r = { 0 };
 
-  if (cc_settings_read (settings, "bare_relay", "Relays by libsoup alone.",
-                        argc, argv) != CC_START_RUN)
+  if (cc_settings_read (settings, "bare_relay", "Minimal libsoup relay.", argc,
+                        argv) != CC_START_RUN)
     return 2;
   r.session = cc_http_client (cc_setting (settings, "listen"), 130);
   r.to = cc_setting (settings, "to");
--- a/test/bench.c
+++ b/test/bench.c
@@ -1,6 +1,7 @@
-/* Runs the decisions under load and a naive version over the same seeded
- * arrivals, as discrete events without network, and prints what callers
- * received.  bench [SEED [SCENARIO]] */
+/* Compares the router's load control with a naive version in a discrete-event
+ * simulation without network, both with the same seeded arrivals, and prints
+ * goodput, latencies and refusals.  bench [SEED [SCENARIO]] runs the scenarios
+ * whose names contain SCENARIO. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,7 +9,7 @@
 
 #include "bench_run.h"
 
-#define LONG_TIMES 20
+#define LONG_JOB_FACTOR 20 /* times the usual work */
 
 static const Class classes[] = {
   { "browse", 18, 4000, 100000, 2000000, FALSE },
@@ -34,8 +35,9 @@
   { "overload x3", 3.0, 0, 0, 0, 0, 0, 0, FALSE },
 };
 
+/* Returns the load offered at AT, in multiples of the capacity. */
 static double
-draw_load (const Scenario *s, gint64 at)
+load_at (const Scenario *s, gint64 at)
 {
   return s->burst > 0 && at >= 2 * CC_SECOND && at < 3 * CC_SECOND ? s->burst
                                                                    : s->load;
@@ -44,10 +46,10 @@
 static double
 mean_work (const Class *c, const Scenario *s)
 {
-  return (double) c->work * (1 + s->long_jobs * (LONG_TIMES - 1));
+  return (double) c->work * (1 + s->long_jobs * (LONG_JOB_FACTOR - 1));
 }
 
-/* Requests a second that all servers can do. */
+/* Returns the requests a second that all servers together can process. */
 static double
 capacity (const Class *c, const Scenario *s)
 {
@@ -57,6 +59,7 @@
   return ((double) c->servers - lost) * SLOTS * 1e6 / mean_work (c, s);
 }
 
+/* Draws the Poisson arrivals of SECONDS. */
 static GArray *
 draw_arrivals (const Class *c, const Scenario *s, guint32 seed)
 {
@@ -70,7 +73,7 @@
       Request q = { 0 };
 
       at += -log (1 - g_rand_double (rand)) * 1e6 /
-            (full * draw_load (s, (gint64) at));
+            (full * load_at (s, (gint64) at));
       q.at = (gint64) at;
       if (q.at >= SECONDS * CC_SECOND)
         break;
@@ -81,7 +84,7 @@
                   ? hot_key_at (q.at)
                   : (guint) g_rand_int_range (rand, 0, KEYS);
       q.is_long = g_rand_double (rand) < s->long_jobs;
-      q.work = (gint64) ((double) c->work * (q.is_long ? LONG_TIMES : 1) *
+      q.work = (gint64) ((double) c->work * (q.is_long ? LONG_JOB_FACTOR : 1) *
                          g_rand_double_range (rand, 0.5, 1.5));
       q.is_silent =
           !c->once_only && s->silent > 0 && g_rand_double (rand) < s->silent;
@@ -91,7 +94,8 @@
   return all;
 }
 
-/* Jain's index of what tenants got within the target, without the hot one. */
+/* Returns Jain's fairness index of the tenants' requests answered within the
+ * latency target, without the hot tenant if HOT. */
 static double
 fairness (const Result *r, gboolean hot)
 {
@@ -106,8 +110,9 @@
   return squares > 0 ? sum * sum / ((TENANTS - from) * squares) : 0;
 }
 
+/* Returns the quantile SHARE of H in ms. */
 static double
-ms (const CcHistogram *h, double share)
+quantile_ms (const CcHistogram *h, double share)
 {
   return (double) cc_histogram_quantile (h, share) / 1000;
 }
@@ -116,35 +121,37 @@
 print_result (const Run *run)
 {
   const Result *r = &run->r;
-  double seconds = SECONDS - (double) COUNTED_FROM / 1e6;
+  double seconds = SECONDS - (double) WARM_UP / 1e6;
   double all = (double) MAX (r->counted, 1);
 
   printf ("%-14s %-14s %-5s %6.1f %6.1f %7.1f %7.1f %7.1f %6.1f %6.1f %6.1f "
           "%5.2f %6.1f\n",
-          run->scenario->name, run->class->name, run->ours ? "ours" : "naive",
+          run->scenario->name, run->class->name,
+          run->controlled ? "ours" : "naive",
           100 * (double) r->in_target / seconds /
               capacity (run->class, run->scenario),
-          100 * (double) r->in_target / all, ms (&r->answered, 0.5),
-          ms (&r->answered, 0.99), ms (&r->answered, 0.999),
-          100 * (double) r->refused / all, ms (&r->told, 0.99),
+          100 * (double) r->in_target / all, quantile_ms (&r->answered, 0.5),
+          quantile_ms (&r->answered, 0.99), quantile_ms (&r->answered, 0.999),
+          100 * (double) r->refused / all, quantile_ms (&r->refusal, 0.99),
           100 * (double) r->unknown / all,
           fairness (r, run->scenario->hot_tenant > 0),
-          100 * (double) r->other_in_target / (double) MAX (r->other, 1));
+          100 * (double) r->regular_in_target / (double) MAX (r->regular, 1));
 }
 
+/* Runs both versions with the same arrivals and prints their results. */
 static void
 run_both (const Class *c, const Scenario *s, guint32 seed)
 {
   g_autoptr (GArray) arrivals = draw_arrivals (c, s, seed);
 
-  for (guint ours = 0; ours < 2; ours++)
+  for (guint controlled = 0; controlled < 2; controlled++)
     {
       g_autofree Run *run = g_new0 (Run, 1);
 
       run->class = c;
       run->scenario = s;
-      run->ours = ours != 0;
-      run_side (run, arrivals);
+      run->controlled = controlled != 0;
+      run_model (run, arrivals);
       print_result (run);
     }
 }
--- a/test/bench_assignment.c
+++ b/test/bench_assignment.c
@@ -1,24 +1,25 @@
-/* Assignment over simulated hours, ours and a naive one over the same seeded
- * load: imbalance, churn against the fewest moves that would do, and the time
- * keys are unavailable.  bench_assignment [SEED [MOVE_MS]]
+/* Compares the assignment planner with a naive one over simulated hours of the
+ * same seeded load: imbalance, churn against the fewest moves that suffice, and
+ * the time that keys are unavailable.  bench_assignment [SEED [MOVE_MS]]
  *
- * The naive one hashes the slices anew modulo the live servers, and knows no
- * hot keys.  A move takes one period of the model, 200 ms; with MOVE_MS, the
- * time measured on real processes, unavailable time is moves times that. */
+ * The naive one assigns slice numbers modulo the number of live servers and
+ * ignores hot keys.  A move takes one period of the model, 200 ms; MOVE_MS sets
+ * another duration for the unavailable time, which is the number of moves times
+ * the duration. */
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "world.h"
 
 #define SLICES 256
-#define LOAD_PER_SERVER 2.0 /* slots of 4 kept busy */
-#define SETTLE 120          /* s after an event until imbalance counts */
+#define LOAD_PER_SERVER 2.0 /* busy slots, of 4 */
+#define SETTLE 120 /* s from an event until imbalance counts as settled */
 #define NOISE 0.03
 
 typedef struct
 {
   guint moves;
-  guint event_moves; /* in joins and leaves */
+  guint event_moves; /* caused by joins and leaves */
   double imbalance;  /* sum of samples */
   double worst;      /* of samples after settling */
   guint samples;
@@ -34,9 +35,9 @@
 typedef struct
 {
   World *w;
-  GPtrArray *naive; /* names of owners, by slice */
-  Tally ours, other;
-  guint fewest; /* of all joins and leaves */
+  GPtrArray *modulo_owners; /* their names, by slice */
+  Tally planned, modulo;
+  guint fewest_moves; /* that all joins and leaves need */
   guint events;
   guint second;
   guint settled_at;
@@ -46,9 +47,10 @@
 {
   const char *name;
   guint minutes;
-  void (*minute) (Bench *b, guint minute); /* what happens in it */
+  void (*minute) (Bench *b, guint minute); /* runs one minute */
 } Pattern;
 
+/* Returns the names of the servers that can own slices. */
 static GPtrArray *
 live_servers (const World *w)
 {
@@ -64,8 +66,9 @@
   return live;
 }
 
+/* Recomputes the naive assignment and counts the moves. */
 static void
-step_naive (Bench *b)
+step_modulo (Bench *b)
 {
   g_autoptr (GPtrArray) live = live_servers (b->w);
 
@@ -73,14 +76,16 @@
     {
       char *owner = live->pdata[i % live->len];
 
-      b->other.moves +=
-          b->naive->pdata[i] != NULL && b->naive->pdata[i] != owner;
-      b->naive->pdata[i] = owner;
+      b->modulo.moves += b->modulo_owners->pdata[i] != NULL &&
+                         b->modulo_owners->pdata[i] != owner;
+      b->modulo_owners->pdata[i] = owner;
     }
 }
 
+/* Returns the load of the busiest server over the mean, in the naive
+ * assignment. */
 static double
-naive_imbalance (const Bench *b)
+modulo_imbalance (const Bench *b)
 {
   g_autoptr (GPtrArray) live = live_servers (b->w);
   double total = 0, peak = 0;
@@ -90,7 +95,7 @@
       double held = 0;
 
       for (guint i = 0; i < SLICES; i++)
-        if (b->naive->pdata[i] == live->pdata[s])
+        if (b->modulo_owners->pdata[i] == live->pdata[s])
           {
             held += b->w->base[i];
             for (guint k = 0; k < b->w->keys->len; k++)
@@ -109,7 +114,7 @@
 }
 
 static void
-sample (Bench *b, Tally *t, double imbalance)
+add_sample (Bench *b, Tally *t, double imbalance)
 {
   t->imbalance += imbalance;
   t->samples++;
@@ -124,30 +129,32 @@
     {
       b->w->moves = 0;
       world_run (b->w, 1);
-      b->ours.moves += b->w->moves;
-      step_naive (b);
+      b->planned.moves += b->w->moves;
+      step_modulo (b);
       b->second++;
       if (b->second % 10 != 0)
         continue;
-      sample (b, &b->ours, world_imbalance (b->w));
-      sample (b, &b->other, naive_imbalance (b));
+      add_sample (b, &b->planned, world_imbalance (b->w));
+      add_sample (b, &b->modulo, modulo_imbalance (b));
     }
 }
 
+/* Runs the minute after a join or leave, which needs at least FEWEST_MOVES, and
+ * counts its moves. */
 static void
-note_event (Bench *b, guint fewest)
+run_event (Bench *b, guint fewest_moves)
 {
-  guint ours = b->ours.moves, other = b->other.moves;
+  guint planned = b->planned.moves, modulo = b->modulo.moves;
 
-  b->fewest += fewest;
+  b->fewest_moves += fewest_moves;
   b->events++;
   b->settled_at = b->second + SETTLE;
   run_seconds (b, 60);
-  b->ours.event_moves += b->ours.moves - ours;
-  b->other.event_moves += b->other.moves - other;
+  b->planned.event_moves += b->planned.moves - planned;
+  b->modulo.event_moves += b->modulo.moves - modulo;
 }
 
-/* Every ten minutes a server joins or one leaves, in turn. */
+/* Every ten minutes a server joins or leaves, alternately. */
 static void
 joins_and_leaves (Bench *b, guint minute)
 {
@@ -166,17 +173,17 @@
   if (minute % 20 == 5)
     {
       world_join (b->w, joins);
-      note_event (b, SLICES / (n + 1));
+      run_event (b, SLICES / (n + 1));
       return;
     }
   world_find (b->w, leaves)->leaving = TRUE;
-  note_event (b, world_owned (b->w, leaves));
+  run_event (b, world_owned (b->w, leaves));
 }
 
-/* In the tenth minute one region's claims, 16 slices, get five times their
- * load, and lose it an hour later. */
+/* In the tenth minute the load of 16 slices, the claims of one region, grows to
+ * five times; an hour later it returns to normal. */
 static void
-hailstorm (Bench *b, guint minute)
+surge_of_slices (Bench *b, guint minute)
 {
   double factor = minute == 10 ? 5 : minute == 70 ? 0.2 : 1;
 
@@ -188,7 +195,7 @@
 }
 
 static void
-heat (Bench *b, guint64 hash, double load)
+set_hot_key (Bench *b, guint64 hash, double load)
 {
   WorldKey k = { hash, load };
 
@@ -196,29 +203,31 @@
   g_array_append_val (b->w->keys, k);
 }
 
-/* One castle's key grows over ten minutes to most of a server, then cools. */
+/* The load of one key grows over ten minutes to most of a server's capacity,
+ * and ends after an hour. */
 static void
-popular_castle (Bench *b, guint minute)
+growing_hot_key (Bench *b, guint minute)
 {
   double load = 0.01;
 
   if (minute >= 10 && minute < 70)
     load = 0.17 * MIN (minute - 9, 10);
   if (minute == 10)
-    b->settled_at = b->second + 10 * 60 + SETTLE; /* it has grown by then */
+    b->settled_at = b->second + 10 * 60 + SETTLE; /* after the growth */
   if (minute == 70)
     b->settled_at = b->second + SETTLE;
-  heat (b, 0x123456789abcdef, load);
+  set_hot_key (b, 0x123456789abcdef, load);
   run_seconds (b, 60);
 }
 
-/* The hot key, most of a server at once, is another one every ten minutes. */
+/* One key has most of a server's load at once; every ten minutes it is another
+ * one. */
 static void
 moving_hot_key (Bench *b, guint minute)
 {
   if (minute % 10 == 0)
     {
-      heat (b, ((guint64) g_rand_int (b->w->rand) << 32) | 1, 1.7);
+      set_hot_key (b, ((guint64) g_rand_int (b->w->rand) << 32) | 1, 1.7);
       b->settled_at = b->second + SETTLE;
     }
   run_seconds (b, 60);
@@ -226,8 +235,8 @@
 
 static const Pattern patterns[] = {
   { "joins and leaves", 120, joins_and_leaves },
-  { "hailstorm", 100, hailstorm },
-  { "popular castle", 100, popular_castle },
+  { "hailstorm", 100, surge_of_slices },
+  { "popular castle", 100, growing_hot_key },
   { "moving hot key", 90, moving_hot_key },
 };
 
@@ -249,8 +258,8 @@
   if (b->events > 0)
     printf (", per event %5.1f%% (fewest %4.1f%%, ratio %.2f)",
             100.0 * t->event_moves / SLICES / b->events,
-            100.0 * b->fewest / SLICES / b->events,
-            (double) t->event_moves / b->fewest);
+            100.0 * b->fewest_moves / SLICES / b->events,
+            (double) t->event_moves / b->fewest_moves);
   printf ("\n");
 }
 
@@ -259,20 +268,20 @@
 {
   Bench b = { .w = world_new (SLICES, d->servers, d->prefer, seed) };
 
-  b.naive = g_ptr_array_new ();
-  g_ptr_array_set_size (b.naive, SLICES);
+  b.modulo_owners = g_ptr_array_new ();
+  g_ptr_array_set_size (b.modulo_owners, SLICES);
   b.settled_at = 10 * 60;
   world_spread (b.w, LOAD_PER_SERVER * d->servers);
   b.w->noise = NOISE;
   for (guint i = 0; i < p->minutes; i++)
     p->minute (&b, i);
   printf ("%s, %s, seed %u\n", d->name, p->name, seed);
-  print_row ("ours", &b, &b.ours, p->minutes, move_ms);
-  print_row ("naive", &b, &b.other, p->minutes, move_ms);
+  print_row ("ours", &b, &b.planned, p->minutes, move_ms);
+  print_row ("naive", &b, &b.modulo, p->minutes, move_ms);
   printf ("         splits %u, folds %u\n", (guint) b.w->planner->splits,
           (guint) b.w->planner->folds);
   fflush (stdout);
-  g_ptr_array_unref (b.naive);
+  g_ptr_array_unref (b.modulo_owners);
   world_free (b.w);
 }
 
--- a/test/bench_path.c
+++ b/test/bench_path.c
@@ -1,6 +1,7 @@
-/* Measures what one entry and one dispatcher carry, and what a gateway does
- * that calls servers itself, each beside a bare relay by libsoup and the
- * server, all in one run.  bench_path [SECONDS] */
+/* Measures the throughput and latency of one entry with one dispatcher, and of
+ * one gateway, each against a minimal libsoup relay and the server itself in
+ * the same run.  bench_path [SECONDS [GATEWAY-ONLY]]: any second argument skips
+ * the entry and dispatcher. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,6 +17,7 @@
     "GET /slots/7 HTTP/1.1\r\nHost: h\r\nX-Class: browse\r\nX-Key: castle-7\r\n"
     "X-Tenant: planner-3\r\nX-Deadline: 9999999999999\r\n\r\n";
 
+/* Returns the resident memory of PID in MiB, 0 if there is no such process. */
 static double
 resident_mb (int pid)
 {
@@ -30,7 +32,7 @@
 }
 
 static int
-start_bare (Cluster *c, const char *listen, const char *to)
+start_bare_relay (Cluster *c, const char *listen, const char *to)
 {
   g_autofree char *binary = g_strconcat (c->bin, "/test/bare_relay", NULL);
   g_autofree char *at = g_strconcat ("--listen=", listen, NULL);
@@ -58,12 +60,12 @@
 }
 
 static void
-bench (Cluster *c, double seconds)
+bench_router (Cluster *c, double seconds)
 {
   g_autofree char *server = g_strdup_printf ("127.%u.2.1:9000", c->net);
   g_autofree char *bare = g_strdup_printf ("127.%u.3.1:8080", c->net);
   g_autofree char *entry = g_strdup_printf ("127.%u.1.1:8080", c->net);
-  int bare_pid = start_bare (c, bare, server);
+  int bare_pid = start_bare_relay (c, bare, server);
   Side sides[] = {
     { .name = "direct", .address = server, .request = request },
     { .name = "bare",
@@ -84,13 +86,13 @@
   cluster_wait (bare_pid);
 }
 
-/* What the gateway is asked for: with an id and a time, as callers give it. */
-static const char direct_request[] =
+/* The request to the gateway, with an id and a deadline as callers set them. */
+static const char gateway_request[] =
     "GET /slots/7 HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9c41d07be2a35f68\r\n"
     "X-Deadline-Ms: 2000\r\n\r\n";
 
 static GSubprocess *
-start (const char *bin, const char *name, const char *const *arguments)
+start_program (const char *bin, const char *name, const char *const *arguments)
 {
   g_autofree char *program = g_build_filename (bin, "test", name, NULL);
   g_autoptr (GSubprocessLauncher) l =
@@ -112,9 +114,10 @@
   return atoi (g_subprocess_get_identifier (p));
 }
 
-/* The gateway beside the same relay, both in front of one server. */
+/* Compares the gateway, with SERVERS servers in its table, with the bare relay
+ * in front of the first of them. */
 static void
-bench_direct (const char *bin, double seconds, const char *servers)
+bench_gateway (const char *bin, double seconds, const char *servers)
 {
   guint net = free_net ();
   g_autofree char *table = g_strdup_printf ("127.%u.0.2:7000", net);
@@ -123,10 +126,10 @@
   g_autofree char *ip = g_strdup_printf ("127.%u.1.1", net);
   g_autofree char *gateway = g_strdup_printf ("%s:%d", ip, GATEWAY_LISTEN);
   g_autofree char *program = g_build_filename (bin, "capercrank-gateway", NULL);
-  g_autofree char *number = g_strdup_printf ("%u", net);
-  const char *stand[] = { "--table",   table,   "--net", number,
-                          "--servers", servers, NULL };
-  const char *relay[] = { "--listen", bare, "--to", server, NULL };
+  g_autofree char *net_text = g_strdup_printf ("%u", net);
+  const char *server_arguments[] = { "--table",   table,   "--net", net_text,
+                                     "--servers", servers, NULL };
+  const char *relay_arguments[] = { "--listen", bare, "--to", server, NULL };
   GatewayPlace place = { .program = program,
                          .instance = "i1",
                          .zone = "a",
@@ -134,18 +137,18 @@
                          .table = table,
                          .grace = 500,
                          .log = "/dev/null" };
-  GSubprocess *all[] = { start (bin, "direct_stand", stand),
-                         start (bin, "bare_relay", relay),
+  GSubprocess *all[] = { start_program (bin, "direct_stand", server_arguments),
+                         start_program (bin, "bare_relay", relay_arguments),
                          gateway_spawn (&place, NULL) };
   Side sides[] = {
-    { .name = "direct", .address = server, .request = direct_request },
+    { .name = "direct", .address = server, .request = gateway_request },
     { .name = "bare",
       .address = bare,
-      .request = direct_request,
+      .request = gateway_request,
       .pids = { pid_of (all[1]), 0 } },
     { .name = "gateway",
       .address = gateway,
-      .request = direct_request,
+      .request = gateway_request,
       .pids = { pid_of (all[2]), 0 } },
   };
 
@@ -165,18 +168,18 @@
   g_autofree char *tests = g_path_get_dirname (argv[0]);
   g_autofree char *bin = g_path_get_dirname (tests);
   double seconds = argc > 1 ? atof (argv[1]) : 3;
-  gboolean direct_only = argc > 2;
+  gboolean gateway_only = argc > 2;
   Cluster *c;
   gboolean ready;
 
-  bench_direct (bin, seconds, "1");
-  bench_direct (bin, seconds, "200");
-  if (direct_only)
+  bench_gateway (bin, seconds, "1");
+  bench_gateway (bin, seconds, "200");
+  if (gateway_only)
     return 0;
   c = cluster_start (bin, "test/path.json", FALSE);
   ready = cluster_wait_ready (c, 30);
   if (ready)
-    bench (c, seconds);
+    bench_router (c, seconds);
   cluster_stop (c);
   return ready ? 0 : 1;
 }
--- a/test/bench_run.c
+++ b/test/bench_run.c
@@ -1,11 +1,12 @@
-/* Discrete events of one side.  Naive: accept all, first in first out, four
- * slots for ever, three tries each.  A server has four slots and works half to
- * one and a half times its class's mean; a frozen one takes attempts and never
- * answers. */
+/* Simulates one run, with the load control of load.c or the naive version: no
+ * admission control, FIFO queues, a fixed limit of four attempts in flight per
+ * server and up to three attempts at a request.  A server has four slots; work
+ * times are 0.5 to 1.5 times the mean of the class.  A frozen server accepts
+ * attempts and never answers. */
 #include "bench_run.h"
 
 #define NAIVE_TRIES 3
-#define TICK (20 * CC_MS) /* of the dispatcher */
+#define TICK (20 * CC_MS) /* the dispatcher's timer */
 
 static gint
 by_time (gconstpointer a, gconstpointer b, gpointer unused)
@@ -24,13 +25,14 @@
   g_sequence_insert_sorted (run->events, e, by_time, NULL);
 }
 
-/* The key that is hot at AT, another each second. */
+/* Returns the key that is hot at AT; it changes each second. */
 guint
 hot_key_at (gint64 at)
 {
   return (guint) (at / CC_SECOND) * 7 % KEYS;
 }
 
+/* Returns whether Q belongs to the hot tenant or key or is a long job. */
 static gboolean
 is_hot (const Scenario *s, const Request *q)
 {
@@ -38,37 +40,38 @@
          (s->hot_key > 0 && q->key == hot_key_at (q->at));
 }
 
+/* Counts a completed request that arrived after the warm-up. */
 static void
-count (Run *run, const Request *q, gboolean ran, gint64 took)
+count_result (Run *run, const Request *q, gboolean ran, gint64 took)
 {
-  gboolean good = ran && took <= run->class->within;
+  gboolean met = ran && took <= run->class->within;
 
-  if (q->at < COUNTED_FROM)
+  if (q->at < WARM_UP)
     return;
   run->r.counted++;
-  run->r.in_target += good;
-  if (good)
+  run->r.in_target += met;
+  if (met)
     run->r.tenant[q->tenant]++;
   if (ran)
     cc_histogram_add (&run->r.answered, took);
   if (is_hot (run->scenario, q))
     return;
-  run->r.other++;
-  run->r.other_in_target += good;
+  run->r.regular++;
+  run->r.regular_in_target += met;
 }
 
 static void
 refuse (Run *run, Request *q)
 {
   q->state = STATE_ENDED;
-  count (run, q, FALSE, 0);
-  if (q->at < COUNTED_FROM)
+  count_result (run, q, FALSE, 0);
+  if (q->at < WARM_UP)
     return;
   run->r.refused++;
-  cc_histogram_add (&run->r.told, run->now - q->at);
+  cc_histogram_add (&run->r.refusal, run->now - q->at);
 }
 
-/* The owner of Q's key. */
+/* Returns the server that owns Q's key. */
 static guint
 server_of (const Run *run, const Request *q)
 {
@@ -81,8 +84,10 @@
   return run->scenario->frozen && server == 0 && run->now >= 2 * CC_SECOND;
 }
 
+/* Starts waiting attempts while the server has free slots; skips those whose
+ * callers have timed out. */
 static void
-work (Run *run, guint server)
+start_work (Run *run, guint server)
 {
   Server *s = &run->servers[server];
 
@@ -101,8 +106,10 @@
     }
 }
 
+/* Sends Q to the owner of its key; a silent connection loses the first
+ * attempt. */
 static void
-send (Run *run, Request *q)
+send_attempt (Run *run, Request *q)
 {
   guint server = server_of (run, q);
   double slow =
@@ -115,28 +122,29 @@
   q->attempt = a;
   q->state = STATE_SENT;
   q->tries++;
-  g_hash_table_add (run->servers[server].sent_set, q);
+  g_hash_table_add (run->servers[server].in_flight, q);
   if (q->is_silent && q->tries == 1)
     return;
   g_queue_push_tail (&run->servers[server].waiting, a);
-  work (run, server);
+  start_work (run, server);
 }
 
+/* Sends queued requests to SERVER as its limit allows. */
 static void
-pump (Run *run, guint server)
+send_queued (Run *run, guint server)
 {
   Server *s = &run->servers[server];
   CcWaiting *w;
   Request *q;
 
-  if (run->ours)
+  if (run->controlled)
     while ((w = cc_load_next (&s->load, NULL, NULL, run->now)) != NULL)
-      send (run, w->item);
-  while (!run->ours && s->sent < SLOTS &&
+      send_attempt (run, w->item);
+  while (!run->controlled && s->sent < SLOTS &&
          (q = g_queue_pop_head (&s->naive)) != NULL)
     {
       s->sent++;
-      send (run, q);
+      send_attempt (run, q);
     }
 }
 
@@ -149,7 +157,7 @@
   q->state = STATE_QUEUED;
   q->expires = run->now + run->class->timeout;
   schedule (run, q->expires, EVENT_EXPIRED, q);
-  if (!run->ours)
+  if (!run->controlled)
     g_queue_push_tail (&s->naive, q);
   else
     {
@@ -166,17 +174,17 @@
       if (!cc_load_offer (&s->load, &q->waiting, run->now).admitted)
         refuse (run, q);
     }
-  pump (run, server);
+  send_queued (run, server);
 }
 
 static void
-slot_back (Run *run, guint server, Request *q, CcLoadEnd end)
+release_slot (Run *run, guint server, Request *q, CcLoadEnd end)
 {
   Server *s = &run->servers[server];
 
   q->attempt = NULL;
-  g_hash_table_remove (s->sent_set, q);
-  if (run->ours)
+  g_hash_table_remove (s->in_flight, q);
+  if (run->controlled)
     cc_load_done (&s->load, &q->waiting, end, run->now);
   else
     s->sent--;
@@ -193,26 +201,28 @@
   run->servers[server].working--;
   if (q != NULL)
     {
-      slot_back (run, server, q, CC_LOAD_ANSWERED);
+      release_slot (run, server, q, CC_LOAD_ANSWERED);
       q->state = STATE_ENDED;
-      count (run, q, TRUE, run->now - q->at);
+      count_result (run, q, TRUE, run->now - q->at);
     }
   g_free (a);
-  work (run, server);
-  pump (run, server);
+  start_work (run, server);
+  send_queued (run, server);
 }
 
+/* Retries Q in the naive version while it has attempts left, or else counts its
+ * outcome as unknown. */
 static void
-give_up (Run *run, Request *q)
+fail_request (Run *run, Request *q)
 {
-  if (!run->ours && q->tries < NAIVE_TRIES)
+  if (!run->controlled && q->tries < NAIVE_TRIES)
     {
       arrive (run, q);
       return;
     }
   q->state = STATE_ENDED;
-  count (run, q, FALSE, 0);
-  run->r.unknown += q->at >= COUNTED_FROM;
+  count_result (run, q, FALSE, 0);
+  run->r.unknown += q->at >= WARM_UP;
 }
 
 static void
@@ -225,10 +235,10 @@
   if (q->state == STATE_SENT)
     {
       q->attempt->request = NULL;
-      slot_back (run, server, q, CC_LOAD_CANCELLED);
-      give_up (run, q);
+      release_slot (run, server, q, CC_LOAD_CANCELLED);
+      fail_request (run, q);
     }
-  else if (run->ours)
+  else if (run->controlled)
     {
       cc_queue_remove (&run->servers[server].load.queue, &q->waiting);
       refuse (run, q);
@@ -237,15 +247,17 @@
     {
       q->tries++;
       g_queue_remove (&run->servers[server].naive, q);
-      give_up (run, q);
+      fail_request (run, q);
     }
-  pump (run, server);
+  send_queued (run, server);
 }
 
+/* Abandons attempts that the load control hedges, and retries or fails their
+ * requests. */
 static void
 hedge (Run *run, Server *s)
 {
-  g_autoptr (GList) sent = g_hash_table_get_keys (s->sent_set);
+  g_autoptr (GList) sent = g_hash_table_get_keys (s->in_flight);
 
   for (GList *i = sent; i != NULL; i = i->next)
     {
@@ -254,25 +266,26 @@
       if (!cc_load_hedge (&s->load, &q->waiting, run->now))
         continue;
       q->attempt->request = NULL;
-      slot_back (run, server_of (run, q), q, CC_LOAD_LOST);
+      release_slot (run, server_of (run, q), q, CC_LOAD_LOST);
       if (cc_load_retry (&s->load, &q->waiting, CC_FAIL_UNKNOWN, run->now))
         q->state = STATE_QUEUED;
       else
-        give_up (run, q);
+        fail_request (run, q);
     }
 }
 
-/* What the dispatcher does every tick: a stalled server's queue is refused. */
+/* Models the dispatcher's timer: hedges, sends queued requests and refuses the
+ * queue of a stalled server. */
 static void
 on_tick (Run *run)
 {
-  for (guint i = 0; run->ours && i < run->class->servers; i++)
+  for (guint i = 0; run->controlled && i < run->class->servers; i++)
     {
       CcLoad *l = &run->servers[i].load;
       g_autoptr (GPtrArray) items = NULL;
 
       hedge (run, &run->servers[i]);
-      pump (run, i);
+      send_queued (run, i);
       if (!cc_load_stalled (l, run->now))
         continue;
       items = cc_queue_items (&l->queue);
@@ -322,10 +335,10 @@
     }
 }
 
-/* Runs ARRIVALS (of Request) through RUN, whose class, scenario and side are
+/* Simulates ARRIVALS (of Request) in RUN, whose class, scenario and version are
  * set, and fills in its result. */
 void
-run_side (Run *run, const GArray *arrivals)
+run_model (Run *run, const GArray *arrivals)
 {
   g_autofree Request *requests =
       g_memdup2 (arrivals->data, arrivals->len * sizeof (Request));
@@ -335,7 +348,7 @@
   for (guint i = 0; i < run->class->servers; i++)
     {
       cc_load_init (&run->servers[i].load);
-      run->servers[i].sent_set = g_hash_table_new (NULL, NULL);
+      run->servers[i].in_flight = g_hash_table_new (NULL, NULL);
     }
   schedule (run, 0, EVENT_TICK, NULL);
   for (guint i = 0; i < arrivals->len; i++)
@@ -348,7 +361,7 @@
   for (guint i = 0; i < run->class->servers; i++)
     {
       cc_load_clear (&run->servers[i].load);
-      g_hash_table_unref (run->servers[i].sent_set);
+      g_hash_table_unref (run->servers[i].in_flight);
     }
   g_sequence_free (run->events);
   g_free (run->servers);
--- a/test/bench_run.h
+++ b/test/bench_run.h
@@ -1,4 +1,4 @@
-/* The bench's model: callers, servers and what they see, as discrete events. */
+/* Discrete-event model of callers, one router and the servers of a class. */
 #ifndef TEST_BENCH_RUN_H
 #define TEST_BENCH_RUN_H
 
@@ -6,9 +6,8 @@
 #include "metrics.h"
 
 #define SECONDS 6
-#define COUNTED_FROM                                                           \
-  (1 * CC_SECOND) /* limits and estimates are warm by then                     \
-                   */
+/* Limits and estimates have converged by then; earlier arrivals are ignored. */
+#define WARM_UP (1 * CC_SECOND)
 #define SLOTS 4
 #define TENANTS 40
 #define KEYS 2000
@@ -17,24 +16,24 @@
 {
   const char *name;
   guint servers;
-  gint64 work;    /* mean, us */
-  gint64 within;  /* us */
+  gint64 work;    /* mean work time, us */
+  gint64 within;  /* latency target, us */
   gint64 timeout; /* us */
   gboolean once_only;
 } Class;
 
-/* Loads as multiples of capacity; shares of all requests. */
+/* Loads are multiples of the capacity, the others shares of all requests. */
 typedef struct
 {
   const char *name;
-  double load;       /* all the time */
-  double burst;      /* from second 2 to 3 in place of it; 0: none */
-  double hot_tenant; /* of one caller */
-  double hot_key;    /* of one key, another each second */
-  double long_jobs;  /* of jobs LONG_TIMES as long */
-  double silent;     /* of first attempts, swallowed by their connection */
-  double slow;       /* factor of server 0's work; 0: none */
-  gboolean frozen;   /* server 0, from second 2 on */
+  double load;       /* except during the burst */
+  double burst;      /* load from second 2 to 3; 0: none */
+  double hot_tenant; /* of one tenant */
+  double hot_key;    /* of one key, which changes each second */
+  double long_jobs;  /* of jobs with LONG_JOB_FACTOR times the work */
+  double silent;     /* of first attempts that their connection loses */
+  double slow;       /* factor of server 0's work time; 0: none */
+  gboolean frozen;   /* server 0 stalls from second 2 on */
 } Scenario;
 
 typedef enum
@@ -63,7 +62,7 @@
 
 struct Attempt
 {
-  Request *request; /* NULL: nobody waits any more */
+  Request *request; /* NULL: its caller has timed out */
   guint server;
   gint64 work;
 };
@@ -71,11 +70,11 @@
 typedef struct
 {
   CcLoad load;
-  GQueue naive;         /* of Request */
-  guint sent;           /* naive: attempts out */
-  GQueue waiting;       /* of Attempt, in the server */
-  guint working;        /* of its slots */
-  GHashTable *sent_set; /* of Request, without an answer */
+  GQueue naive;          /* of Request */
+  guint sent;            /* naive: attempts in flight */
+  GQueue waiting;        /* of Attempt, in the server's queue */
+  guint working;         /* busy slots */
+  GHashTable *in_flight; /* of Request, sent without an answer */
 } Server;
 
 typedef enum
@@ -95,18 +94,18 @@
 typedef struct
 {
   CcHistogram answered;
-  CcHistogram told; /* from arrival to refusal */
+  CcHistogram refusal; /* time from arrival to refusal */
   guint64 counted, in_target, refused, unknown;
-  guint64 other,
-      other_in_target;    /* all but the hot caller, hot key and long jobs */
-  double tenant[TENANTS]; /* in target */
+  /* Without hot tenant, hot key and long jobs. */
+  guint64 regular, regular_in_target;
+  double tenant[TENANTS]; /* answered within the latency target */
 } Result;
 
 typedef struct
 {
   const Class *class;
   const Scenario *scenario;
-  gboolean ours;
+  gboolean controlled; /* by the load control; FALSE: naive */
   Server *servers;
   GSequence *events;
   gint64 now;
@@ -114,6 +113,6 @@
 } Run;
 
 guint hot_key_at (gint64 at);
-void run_side (Run *run, const GArray *arrivals);
+void run_model (Run *run, const GArray *arrivals);
 
 #endif
--- a/test/bench_side.c
+++ b/test/bench_side.c
@@ -1,7 +1,8 @@
-/* The rate on one core is requests over processor seconds of all processes
- * that a request passes; it does not depend on what else the machine does as
- * the rate by the clock does.  Latencies are taken at a given rate, from the
- * moment at which a request was due to be sent. */
+/* Compares paths by requests per processor second, over all processes that a
+ * request passes: unlike requests per second of wall time this does not depend
+ * on other load on the machine.  Latencies are measured at a constant rate and
+ * from the time at which a request was due to be sent, so that a stalled path
+ * does not hide its own delay (coordinated omission). */
 #include "bench_side.h"
 
 #include <math.h>
@@ -17,18 +18,21 @@
 #include "settings.h"
 
 #define CONNECTIONS 32
-#define ROUNDS 4 /* turns of each, since the machine is shared */
+/* Alternating runs of each side, as other load on the machine varies. */
+#define ROUNDS 4
 #define BUFFER 8192
 
 typedef struct
 {
   GSocket *socket;
   gboolean busy;
-  gint64 due; /* us */
+  gint64 due; /* when its request was due, us */
   char buffer[BUFFER];
   gsize length;
 } Connection;
 
+/* Returns the processor time of PID, user and system, in seconds; 0 if there is
+ * no such process. */
 static double
 cpu_seconds (int pid)
 {
@@ -60,7 +64,7 @@
 }
 
 static void
-send_one (const Side *s, Connection *c, gint64 due)
+send_request (const Side *s, Connection *c, gint64 due)
 {
   c->busy = TRUE;
   c->due = due;
@@ -70,6 +74,7 @@
     g_error ("can't send");
 }
 
+/* Returns whether the buffer holds an answer with its whole body. */
 static gboolean
 is_complete (const Connection *c)
 {
@@ -81,7 +86,7 @@
 }
 
 static void
-take (Side *s, Connection *c)
+receive_answer (Side *s, Connection *c)
 {
   gssize n = g_socket_receive (c->socket, c->buffer + c->length,
                                BUFFER - 1 - c->length, NULL, NULL);
@@ -100,7 +105,8 @@
   cc_histogram_add (&s->latency, cc_clock_now () - c->due);
 }
 
-/* Sends what is due.  RATE 0: as soon as a connection is free. */
+/* Sends the requests that are due, at RATE a second with exponential gaps. RATE
+ * 0: as soon as a connection is free. */
 static void
 send_due (const Side *s, Connection *all, double rate, gint64 *next, gint64 end,
           GRand *rand)
@@ -113,14 +119,16 @@
         continue;
       if (rate > 0 && *next > now)
         return;
-      send_one (s, &all[i], rate > 0 ? *next : now);
+      send_request (s, &all[i], rate > 0 ? *next : now);
       if (rate > 0)
         *next += (gint64) (-log (1 - g_rand_double (rand)) * 1e6 / rate);
     }
 }
 
+/* Receives the answers that have arrived.  Returns the number of connections
+ * that were awaiting one before. */
 static guint
-wait_some (Side *s, Connection *all, gboolean paced)
+poll_connections (Side *s, Connection *all, gboolean paced)
 {
   struct pollfd fds[CONNECTIONS];
   guint busy = 0;
@@ -133,7 +141,7 @@
   poll (fds, CONNECTIONS, paced ? 0 : 1);
   for (guint i = 0; i < CONNECTIONS; i++)
     if (fds[i].revents != 0)
-      take (s, &all[i]);
+      receive_answer (s, &all[i]);
   return busy;
 }
 
@@ -158,7 +166,7 @@
   end = began + (gint64) (seconds * 1e6);
   do
     send_due (s, all, rate, &next, end, rand);
-  while (wait_some (s, all, rate > 0) > 0 || cc_clock_now () < end);
+  while (poll_connections (s, all, rate > 0) > 0 || cc_clock_now () < end);
   s->seconds += (double) (cc_clock_now () - began) / 1e6;
   s->cpu += cpu_of (s) - cpu;
   for (guint i = 0; i < CONNECTIONS; i++)
@@ -167,14 +175,14 @@
 }
 
 static void
-reset (Side *s)
+reset_counts (Side *s)
 {
   s->cpu = s->seconds = 0;
   s->done = s->failed = 0;
   s->latency = (CcHistogram){ 0 };
 }
 
-/* Prints the rate of S, and keeps that on one core. */
+/* Prints the rates of S and stores the one per processor second. */
 static void
 print_rate (Side *s)
 {
@@ -187,36 +195,39 @@
           s->cpu / s->seconds, 100 * (double) s->failed / all);
 }
 
-/* Prints the latencies of S beside those of DIRECT. */
+/* Prints the latencies of S and what they add to those of DIRECT. */
 static void
 print_latency (const Side *s, const Side *direct)
 {
   const CcHistogram *h = &s->latency;
-  double half = (double) cc_histogram_quantile (h, 0.5) / 1000;
-  double most = (double) cc_histogram_quantile (h, 0.99) / 1000;
-  double base = (double) cc_histogram_quantile (&direct->latency, 0.5) / 1000;
-  double far = (double) cc_histogram_quantile (&direct->latency, 0.99) / 1000;
+  double p50 = (double) cc_histogram_quantile (h, 0.5) / 1000;
+  double p99 = (double) cc_histogram_quantile (h, 0.99) / 1000;
+  double direct_p50 =
+      (double) cc_histogram_quantile (&direct->latency, 0.5) / 1000;
+  double direct_p99 =
+      (double) cc_histogram_quantile (&direct->latency, 0.99) / 1000;
 
   printf ("%-8s p50 %.3f ms, p99 %.3f ms; added %.3f and %.3f; failed "
           "%" G_GUINT64_FORMAT "\n",
-          s->name, half, most, half - base, most - far, s->failed);
+          s->name, p50, p99, p50 - direct_p50, p99 - direct_p99, s->failed);
 }
 
-/* Asks the N SIDES by turns, for SECONDS each; RATE a second, or with 0 as fast
- * as they answer. */
+/* Runs the N SIDES in turn, for SECONDS each, at RATE requests a second, or
+ * with 0 as fast as they answer. */
 static void
-measure (Side *sides, guint n, double rate, double seconds)
+run_in_turns (Side *sides, guint n, double rate, double seconds)
 {
   for (guint i = 0; i < n; i++)
-    reset (&sides[i]);
+    reset_counts (&sides[i]);
   for (guint k = 0; k < ROUNDS; k++)
     for (guint i = 0; i < n; i++)
       run (&sides[i], rate, seconds);
 }
 
-/* Measures the N SIDES for SECONDS a turn, as fast as they answer and then at
- * half of what the last one carries on one core.  The first is the server
- * itself and the last but one what the last is compared with. */
+/* Measures the N SIDES for SECONDS a turn and prints their rates and latencies:
+ * first as fast as they answer, then at half the rate of the last one per
+ * processor second.  The first side is the server itself; the last one is
+ * compared with the one before it. */
 void
 side_compare (Side *sides, guint n, double seconds)
 {
@@ -224,13 +235,13 @@
   const Side *last = &sides[n - 1];
   double half;
 
-  measure (sides, n, 0, seconds);
+  run_in_turns (sides, n, 0, seconds);
   for (guint i = 0; i < n; i++)
     print_rate (&sides[i]);
   printf ("%s over %s relay, on one core: %.2f\n", last->name, base->name,
           last->on_one_core / base->on_one_core);
   half = last->on_one_core / 2;
-  measure (sides, n, half, seconds);
+  run_in_turns (sides, n, half, seconds);
   printf ("at %.0f requests/s:\n", half);
   for (guint i = 0; i < n; i++)
     print_latency (&sides[i], &sides[0]);
