--- a/test/bench_side.c
+++ b/test/bench_side.c
@@ -105,8 +105,8 @@
   cc_histogram_add (&s->latency, cc_clock_now () - c->due);
 }
 
-/* Sends the requests that are due, at RATE a second with exponential gaps. RATE
- * 0: as soon as a connection is free. */
+/* Sends the requests that are due, at RATE a second with exponential gaps, or
+ * with RATE 0 as soon as a connection is free. */
 static void
 send_due (const Side *s, Connection *all, double rate, gint64 *next, gint64 end,
           GRand *rand)
--- a/test/demo.c
+++ b/test/demo.c
@@ -265,8 +265,8 @@
   return p;
 }
 
-/* Reports a stall of the main loop: delays in it are those of the table, the
- * servers and the callers, not of the gateways. */
+/* Reports a stall of the main loop: the table, the servers and the callers do
+ * not respond during it, whatever the gateways do. */
 static gboolean
 check_stall (gpointer unused)
 {
--- a/test/load.c
+++ b/test/load.c
@@ -59,9 +59,8 @@
   gint64 longest_unavailable;    /* of a key, us */
 } Tally;
 
-/* The timeout of a request is longer than that of any class, so that it is the
- * entry that answers in time or not, and a run ends even if one does not
- * respond. */
+/* The timeouts of a request are longer than those of any class; they end a run
+ * in which an entry does not respond. */
 #define CONNECT_WITHIN (4 * CC_SECOND)
 #define ANSWER_WITHIN (10 * CC_SECOND)
 #define IDLE_MAX (10 * CC_SECOND) /* of a connection */
@@ -89,7 +88,7 @@
   double scale;
   guint duplicate_percent; /* of once-only requests */
   guint duplicate_outcomes[DUPLICATE_KINDS][3];
-  gboolean no_unknown; /* fail if a once-only request is unknown */
+  gboolean no_unknown; /* fail if an answer is unknown */
 } Load;
 
 typedef struct
@@ -410,7 +409,8 @@
   return NULL;
 }
 
-/* Draws the key of an arrival of P and sends its request. */
+/* Draws the key of an arrival of P and sends its request, with the probability
+ * set also a duplicate while it is in flight. */
 static void
 start_call (Load *l, const Pattern *p)
 {
--- a/test/prove.c
+++ b/test/prove.c
@@ -1,7 +1,8 @@
 /* prove SCENARIO [SEED]: starts a deployment whose links pass through the
- * relay, sends load, injects the faults of a scenario and passes if the audit
- * of the load generator does.  "prove list" prints the scenarios, "prove check"
- * runs those of make check, "prove all" runs all. */
+ * relay, sends load, injects the faults of a scenario and passes if they took
+ * effect and the audit of the load generator found no violation.  "prove list"
+ * prints the scenarios, "prove check" runs those of make check, "prove all"
+ * runs all. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/test/prove.h
+++ b/test/prove.h
@@ -26,8 +26,8 @@
 extern const Scenario assignment_scenarios[]; /* load, hot keys, joins */
 extern const Scenario operator_scenarios[];   /* capercrankctl */
 
-/* Names of the scenarios in which the balancer polls /readyz and no once-only
- * request may get the outcome unknown; ends with NULL. */
+/* Names of the scenarios in which the balancer polls /readyz and no answer may
+ * have the outcome unknown; ends with NULL. */
 extern const char *const no_unknown_scenarios[];
 
 void pause_ms (guint ms);
--- a/test/scenarios_operator.c
+++ b/test/scenarios_operator.c
@@ -36,7 +36,8 @@
 }
 
 /* Returns the number of slices that SERVER owns or has to hand over, as
- * "capercrankctl show owners" prints it; -1 if it does not. */
+ * "capercrankctl show owners" prints it; -1 if the command fails or does not
+ * list SERVER. */
 static gint64
 slices_of (Cluster *c, guint instance, const char *server)
 {
