--- a/test/bare_relay.c
+++ b/test/bare_relay.c
@@ -17,6 +17,7 @@
   SoupMessage *message;
 } Exchange;
 
+/* Copies end-to-end headers; libsoup sets the others itself. */
 static void
 copy_header (const char *name, const char *value, gpointer to)
 {
@@ -50,6 +51,7 @@
   g_free (x);
 }
 
+/* Forwards a request and pauses it until the answer. */
 static void
 on_request (SoupServer *server, SoupServerMessage *m, const char *path,
             GHashTable *query, gpointer data)
--- a/test/bench.c
+++ b/test/bench.c
@@ -43,6 +43,7 @@
                                                                    : s->load;
 }
 
+/* Returns the mean work time in us, with the long jobs of S. */
 static double
 mean_work (const Class *c, const Scenario *s)
 {
@@ -117,6 +118,7 @@
   return (double) cc_histogram_quantile (h, share) / 1000;
 }
 
+/* Prints one line in the columns and units that main prints. */
 static void
 print_result (const Run *run)
 {
--- a/test/bench_assignment.c
+++ b/test/bench_assignment.c
@@ -113,6 +113,7 @@
   return peak * live->len / total;
 }
 
+/* Adds a sample; the worst one counts only after settling. */
 static void
 add_sample (Bench *b, Tally *t, double imbalance)
 {
@@ -122,6 +123,8 @@
     t->worst = MAX (t->worst, imbalance);
 }
 
+/* Runs both assignments for SECONDS and samples their imbalance every ten
+ * seconds. */
 static void
 run_seconds (Bench *b, guint seconds)
 {
@@ -194,6 +197,7 @@
   run_seconds (b, 60);
 }
 
+/* Makes HASH the only hot key, with LOAD in busy slots. */
 static void
 set_hot_key (Bench *b, guint64 hash, double load)
 {
@@ -245,6 +249,8 @@
   { "stakloservis claim-status", CC_PREFER_STABILITY, 16 },
 };
 
+/* Prints imbalance, churn and unavailable time per hour, and the moves per join
+ * or leave against the fewest possible. */
 static void
 print_row (const char *who, const Bench *b, const Tally *t, guint minutes,
            guint move_ms)
@@ -263,6 +269,7 @@
   printf ("\n");
 }
 
+/* Runs pattern P on deployment D and prints a row for each assignment. */
 static void
 run (const Pattern *p, const Deployment *d, guint32 seed, guint move_ms)
 {
--- a/test/bench_path.c
+++ b/test/bench_path.c
@@ -31,6 +31,7 @@
   return line != NULL ? (double) atol (line + 6) / 1024 : 0;
 }
 
+/* Starts the bare relay from LISTEN to TO.  Returns its process id. */
 static int
 start_bare_relay (Cluster *c, const char *listen, const char *to)
 {
@@ -42,6 +43,7 @@
   return cluster_spawn (c, argv, "bare");
 }
 
+/* Prints the resident memory of the processes of instance 1. */
 static void
 print_memory (Cluster *c)
 {
@@ -59,6 +61,8 @@
   printf (", %.1f MB in all\n", sum);
 }
 
+/* Compares entry and dispatcher with the bare relay, both in front of the same
+ * server. */
 static void
 bench_router (Cluster *c, double seconds)
 {
@@ -91,6 +95,7 @@
     "GET /slots/7 HTTP/1.1\r\nHost: h\r\nX-Request-Id: 9c41d07be2a35f68\r\n"
     "X-Deadline-Ms: 2000\r\n\r\n";
 
+/* Starts test program NAME, which is killed when this process exits. */
 static GSubprocess *
 start_program (const char *bin, const char *name, const char *const *arguments)
 {
--- a/test/bench_run.c
+++ b/test/bench_run.c
@@ -60,6 +60,7 @@
   run->r.regular_in_target += met;
 }
 
+/* Counts Q as refused (not-run). */
 static void
 refuse (Run *run, Request *q)
 {
@@ -148,6 +149,7 @@
     }
 }
 
+/* Queues Q at its server, also for a retry of the naive version. */
 static void
 arrive (Run *run, Request *q)
 {
@@ -177,6 +179,7 @@
   send_queued (run, server);
 }
 
+/* Ends the attempt of Q at SERVER. */
 static void
 release_slot (Run *run, guint server, Request *q, CcLoadEnd end)
 {
@@ -190,6 +193,7 @@
     s->sent--;
 }
 
+/* The server completed A; its answer counts unless the caller has timed out. */
 static void
 on_done (Run *run, Attempt *a)
 {
@@ -225,6 +229,7 @@
   run->r.unknown += q->at >= WARM_UP;
 }
 
+/* The timeout of Q: cancels its attempt, or removes it from the queue. */
 static void
 on_expired (Run *run, Request *q)
 {
@@ -319,6 +324,7 @@
     }
 }
 
+/* Runs the events that are due until UNTIL. */
 static void
 run_events (Run *run, gint64 until)
 {
--- a/test/bench_side.c
+++ b/test/bench_side.c
@@ -85,6 +85,7 @@
   return end != NULL && c->length >= (gsize) (end - c->buffer) + 4 + body;
 }
 
+/* Reads what has arrived on C and counts the answer once it is complete. */
 static void
 receive_answer (Side *s, Connection *c)
 {
@@ -151,6 +152,8 @@
   return cpu_seconds (s->pids[0]) + cpu_seconds (s->pids[1]);
 }
 
+/* Sends requests to S for SECONDS over CONNECTIONS connections and adds to its
+ * counts, at RATE a second, or with 0 as fast as it answers. */
 static void
 run (Side *s, double rate, double seconds)
 {
--- a/test/demo.c
+++ b/test/demo.c
@@ -119,6 +119,7 @@
 
 /* ---- output ---- */
 
+/* Counts an answer for the line of the present second. */
 static void
 on_answer (guint status, gint64 took)
 {
@@ -140,6 +141,7 @@
           "refused", "failed", "owners", "unowned", "what was done");
 }
 
+/* Prints the line of the present second and resets its counts. */
 static void
 print_second (void)
 {
@@ -155,6 +157,7 @@
   g_clear_pointer (&demo.actions, g_free);
 }
 
+/* Prints the audit's counts and sets the exit code. */
 static void
 print_audit (void)
 {
@@ -187,6 +190,7 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Prints commands by which a reader can follow the sample request. */
 static void
 print_hints (guint status, const char *body)
 {
@@ -248,6 +252,7 @@
   gint64 waited; /* runnable, in the run queue */
 } ThreadTimes;
 
+/* Returns the present times; zero where the kernel has no schedstat. */
 static ThreadTimes
 read_thread_times (void)
 {
@@ -285,6 +290,7 @@
 
 /* ---- timeline ---- */
 
+/* Runs the step of the present second, if there is one. */
 static void
 run_steps (void)
 {
@@ -310,6 +316,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Waits until the gateways are ready, then starts the timeline; stops the run
+ * after START_MAX. */
 static gboolean
 on_poll (gpointer unused)
 {
--- a/test/demo_caller.c
+++ b/test/demo_caller.c
@@ -71,6 +71,7 @@
   return g_random_int_range (0, SOAK_KEYS);
 }
 
+/* Sends one random request to a random gateway. */
 static void
 send_request (void)
 {
--- a/test/demo_fleet.c
+++ b/test/demo_fleet.c
@@ -180,6 +180,7 @@
   return granter () != NULL;
 }
 
+/* Returns the name of the gateway that grants keys by the last poll; "none". */
 const char *
 demo_fleet_granter (void)
 {
@@ -197,6 +198,7 @@
   return FALSE;
 }
 
+/* A gateway exited: an audit fault unless the demo killed or stopped it. */
 static void
 on_exit_of_gateway (GObject *process, GAsyncResult *result, gpointer data)
 {
@@ -211,6 +213,7 @@
     fleet.stopped ();
 }
 
+/* Starts G with a log file of its own for each start. */
 static void
 start_gateway (Gateway *g)
 {
@@ -233,6 +236,7 @@
 
 /* ---- start ---- */
 
+/* Creates all servers and starts them except the last one. */
 static void
 start_servers (void)
 {
@@ -303,6 +307,7 @@
   return name;
 }
 
+/* Crashes one server that owns keys. */
 const char *
 demo_fleet_lose_server (void)
 {
@@ -310,6 +315,7 @@
   return server_name (CRASHED_SERVER);
 }
 
+/* Starts the server that joins during the run. */
 const char *
 demo_fleet_add_server (void)
 {
@@ -317,6 +323,7 @@
   return server_name (DEMO_SERVERS - 1);
 }
 
+/* Lets one server that owns keys announce that it leaves. */
 const char *
 demo_fleet_drain_server (void)
 {
@@ -349,6 +356,7 @@
   return g->name;
 }
 
+/* Kills the gateways that did not exit within the grace period. */
 static gboolean
 on_grace_elapsed (gpointer unused)
 {
--- a/test/harness.c
+++ b/test/harness.c
@@ -67,6 +67,7 @@
   return WIFEXITED (status) ? WEXITSTATUS (status) : 128 + WTERMSIG (status);
 }
 
+/* Adds a process, which is started later. */
 static Process *
 add_process (Cluster *c, const char *name, const char *zone, const char *pool,
              const char *ip, const char *binary)
@@ -83,6 +84,7 @@
   return p;
 }
 
+/* Appends --NAME=VALUE to the arguments of P, with VALUE by printf FORMAT. */
 static void
 add_flag (Process *p, const char *name, const char *format, ...)
 {
@@ -182,6 +184,7 @@
     }
 }
 
+/* Adds all processes of the deployment ROOT, the platform first. */
 static void
 add_all (Cluster *c, JsonObject *root)
 {
@@ -321,6 +324,7 @@
   g_string_free (s, TRUE);
 }
 
+/* Adds the relay, which needs the addresses of all other processes. */
 static void
 add_relay (Cluster *c)
 {
--- a/test/load.c
+++ b/test/load.c
@@ -108,6 +108,7 @@
   DuplicateKind kind; /* of a duplicate */
 } Call;
 
+/* Returns a UUIDv7 with random bits from RAND, to be freed. */
 static char *
 uuid_v7 (GRand *rand)
 {
@@ -293,6 +294,8 @@
   end_call (a);
 }
 
+/* Counts an outcome; sends the request again if it did not run and has attempts
+ * left. */
 static void
 on_answer (const CcHttpResult *r, gpointer data)
 {
@@ -374,6 +377,7 @@
   return t;
 }
 
+/* Sends the next attempt of A, to another entry than the last one. */
 static void
 send_call (Call *a)
 {
@@ -400,6 +404,7 @@
     g_idle_add (on_not_connected, a);
 }
 
+/* Returns the counts of CLASS. */
 static Tally *
 tally_of (Load *l, const CcClass *class)
 {
@@ -443,6 +448,7 @@
   gint64 next; /* arrival, us */
 } Arrivals;
 
+/* Sends the requests of one pattern that are due, with exponential gaps. */
 static gboolean
 on_arrivals (gpointer data)
 {
@@ -466,6 +472,8 @@
   return G_SOURCE_REMOVE;
 }
 
+/* Prints the progress each second and ends the run once its time is over and no
+ * request is in flight. */
 static gboolean
 on_progress (gpointer data)
 {
@@ -510,6 +518,8 @@
   g_ptr_array_add (l->patterns, p);
 }
 
+/* Reads the configuration document and request patterns from FILE; an invalid
+ * file ends the program. */
 static void
 read_deployment (Load *l, const char *file)
 {
@@ -543,6 +553,8 @@
     read_pattern (l, json_array_get_object_element (requests, i));
 }
 
+/* Prints outcomes, latencies and unavailability by class, and whether each met
+ * its target share and reliability. */
 static void
 print_table (const Load *l)
 {
--- a/test/scenarios_assignment.c
+++ b/test/scenarios_assignment.c
@@ -68,6 +68,8 @@
   cluster_set_state (c, "group-booking-4", state);
 }
 
+/* Returns TRUE if at least two hot keys were split and units moved both for the
+ * leaving and for the joining servers. */
 static guint
 hot_key_moves (Cluster *c, GRand *rand)
 {
--- a/test/scenarios_config.c
+++ b/test/scenarios_config.c
@@ -206,6 +206,7 @@
   return version;
 }
 
+/* Returns the version in force at assigner 1. */
 static guint64
 version_now (Cluster *c)
 {
@@ -226,6 +227,7 @@
   return i;
 }
 
+/* Runs four races, each on the version that the last one left. */
 static guint
 race_of_operators (Cluster *c, GRand *rand)
 {
@@ -273,6 +275,7 @@
       cluster_set_relay_rule (c, "cut", zone, others[i]);
 }
 
+/* Kills and restarts the three processes of instance I. */
 static void
 restart_instance (Cluster *c, guint i)
 {
--- a/test/scenarios_lease.c
+++ b/test/scenarios_lease.c
@@ -27,6 +27,7 @@
     cluster_restart (c, name);
 }
 
+/* Returns the takeovers that all assigners have counted. */
 static guint
 takeovers (Cluster *c)
 {
@@ -178,6 +179,7 @@
   return read_metric (c, "entry", i, "capercrank_messages_received") > before;
 }
 
+/* Returns how often leases were extended by votes instead of the platform. */
 static guint
 extensions (Cluster *c)
 {
@@ -185,7 +187,7 @@
 }
 
 /* Puts the platform into MODE for PAST_LEASE_MS.  Returns how many times leases
- * were extended without it. */
+ * were extended by votes instead. */
 static guint
 platform_fault (Cluster *c, const char *mode, guint ms)
 {
@@ -274,6 +276,7 @@
   return takeovers (c) - before;
 }
 
+/* Returns the zone of a process. */
 static const char *
 zone_of (Cluster *c, const char *program, guint instance)
 {
--- a/test/scenarios_operator.c
+++ b/test/scenarios_operator.c
@@ -97,6 +97,7 @@
   return stat (path, &s) == 0 ? (gint64) s.st_size : -1;
 }
 
+/* Returns whether no request reaches SERVER for QUIET_MS, after SETTLED_MS. */
 static gboolean
 gets_no_requests (Cluster *c, const char *server)
 {
--- a/test/scenarios_outcome.c
+++ b/test/scenarios_outcome.c
@@ -73,6 +73,7 @@
   return MIN (outcomes, chunks);
 }
 
+/* Returns the requests that entry 2 had received when it was stopped. */
 static guint
 drain_entry (Cluster *c, GRand *rand)
 {
