--- a/test/harness.h
+++ b/test/harness.h
@@ -1,4 +1,5 @@
-/* Starts a deployment as real processes on loopback, and ends it. */
+/* Runs a deployment as real processes on loopback: starts, controls and stops
+ * them, and injects faults. */
 #ifndef TEST_HARNESS_H
 #define TEST_HARNESS_H
 
@@ -8,39 +9,40 @@
 {
   char *name; /* "entry-3", "dispatch-3", "assign-3", "catalogue-7" */
   char *zone;
-  char *pool; /* of a server; NULL for ours */
+  char *pool; /* of a server; NULL for other processes */
   char *ip;
-  GPtrArray *argv;
-  int pid; /* 0: not running */
+  GPtrArray *argv; /* of strings, without a NULL at the end */
+  int pid;         /* 0: not running */
 } Process;
 
 typedef struct
 {
-  char *file;         /* of the deployment */
-  char *document;     /* JSON */
+  char *file;         /* the deployment, JSON */
+  char *document;     /* its configuration document, JSON */
   char *folder;       /* logs and records of this run */
   char *bin;          /* folder of the programs */
   guint net;          /* 127.NET.x.y */
   gboolean relayed;   /* all links go through the relay */
-  GHashTable *states; /* server to its state in the platform's list */
+  GHashTable *states; /* name to its state in the platform's list */
   guint instances;
   GPtrArray *processes; /* of Process, platform first */
 } Cluster;
 
 Cluster *cluster_start (const char *bin, const char *deployment,
                         gboolean relayed);
-guint cluster_relay (Cluster *c, const char *verb, const char *a,
-                     const char *b);
-void cluster_platform (Cluster *c, const char *mode, guint ms);
-void cluster_list (Cluster *c, const char *server, const char *state);
-void cluster_behave (Cluster *c, const char *server, const char *query);
+guint cluster_set_relay_rule (Cluster *c, const char *verb, const char *a,
+                              const char *b);
+void cluster_set_platform_fault (Cluster *c, const char *mode, guint ms);
+void cluster_set_state (Cluster *c, const char *server, const char *state);
+void cluster_set_server_behaviour (Cluster *c, const char *server,
+                                   const char *query);
 int cluster_load (Cluster *c, guint seconds, guint percent, guint repeats,
                   guint seed);
 gboolean cluster_wait_ready (Cluster *c, guint seconds);
 void cluster_stop (Cluster *c);
 Process *cluster_find (Cluster *c, const char *name);
 void cluster_signal (Cluster *c, const char *name, int signal);
-gboolean cluster_wait_end (Cluster *c, const char *name, guint seconds);
+gboolean cluster_wait_exit (Cluster *c, const char *name, guint seconds);
 void cluster_restart (Cluster *c, const char *name);
 char *cluster_entries (const Cluster *c);
 char *cluster_admin (const Cluster *c, const char *program, guint instance);
