--- a/config_api.c
+++ b/config_api.c
@@ -22,8 +22,8 @@
 #define HEAD_KEY "config/head"
 #define CHECK_PARAMETER "check" /* query parameter: validate only */
 #define SUPERSEDED                                                             \
-  "another document has been accepted since that version; read it, then "      \
-  "submit against its version"
+  "another document was accepted meanwhile; read it, then submit against its " \
+  "version"
 #define STATUS_PRECONDITION_REQUIRED 428 /* RFC 6585; libsoup has no name */
 
 typedef struct
@@ -81,8 +81,8 @@
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_GATEWAY_TIMEOUT,
-        "the platform's response was lost; the document may or may not be "
-        "accepted later, read the document in force before a retry",
+        "the platform's answer was lost; it is not known whether the "
+        "document will be accepted, ask again",
         version);
 }
 
@@ -123,7 +123,7 @@
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-        "the platform is unreachable; nothing was changed", 0);
+        "the platform can't be reached; nothing was changed", 0);
   submit_free (s);
 }
 
@@ -186,8 +186,8 @@
     cc_operator_answer_error (m, SOUP_STATUS_CONFLICT, SUPERSEDED, known);
   else
     cc_operator_answer_error (m, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "this instance has not received that version "
-                              "yet; retry, or use another instance",
+                              "this instance does not hold that version yet; "
+                              "ask again, or ask another one",
                               known);
   return FALSE;
 }
@@ -208,14 +208,14 @@
       !g_ascii_string_to_unsigned (match, 10, 0, G_MAXINT64, &base, NULL))
     {
       cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
-                                "If-Match must be a version number", 0);
+                                "If-Match must be a version", 0);
       return;
     }
   if (match == NULL && !check_only)
     {
       cc_operator_answer_error (
           m, STATUS_PRECONDITION_REQUIRED,
-          "If-Match must give the version to replace, 0 if there is none",
+          "If-Match must name the version to replace, 0 for none",
           api->follower->document_version);
       return;
     }
--- a/document.c
+++ b/document.c
@@ -44,7 +44,7 @@
        (type == G_TYPE_DOUBLE &&
         json_node_get_value_type (node) == G_TYPE_INT64)))
     return node;
-  cc_findings_add (r->f, place, "has the wrong type, expected: %s",
+  cc_findings_add (r->f, place, "has the wrong type, a %s is wanted",
                    type == G_TYPE_STRING    ? "string"
                    : type == G_TYPE_BOOLEAN ? "true or false"
                                             : "number");
@@ -61,7 +61,7 @@
   if (node != NULL && (s[0] == '\0' || strlen (s) > CC_NAME_MAX))
     cc_findings_add (r->f, place, "must have 1 to %d bytes", CC_NAME_MAX);
   if (strpbrk (s, "/\"\\\n\r") != NULL)
-    cc_findings_add (r->f, place, "must not contain / \" \\ or a line break");
+    cc_findings_add (r->f, place, "must not hold / \" \\ or a line break");
   return g_strdup (s);
 }
 
@@ -158,7 +158,7 @@
   p->slices =
       (guint) read_number (r, "slices", FALSE, SLICES_DEFAULT, 1, SLICES_MAX);
   if (cc_document_pool (d, p->name) != NULL)
-    cc_findings_add (r->f, r->place, "duplicate pool \"%s\"", p->name);
+    cc_findings_add (r->f, r->place, "pool \"%s\" stands twice", p->name);
   g_ptr_array_add (d->pools, p);
 }
 
@@ -205,9 +205,9 @@
     cc_findings_add (r->f, r->place,
                      "timeout_ms is shorter than target.within_ms");
   if (c->pool[0] != '\0' && cc_document_pool (d, c->pool) == NULL)
-    cc_findings_add (r->f, place, "no such pool: \"%s\"", c->pool);
+    cc_findings_add (r->f, place, "there is no pool \"%s\"", c->pool);
   if (cc_document_class (d, c->name) != NULL)
-    cc_findings_add (r->f, r->place, "duplicate class \"%s\"", c->name);
+    cc_findings_add (r->f, r->place, "class \"%s\" stands twice", c->name);
   g_ptr_array_add (d->classes, c);
 }
 
@@ -227,7 +227,7 @@
     }
   list = json_node_get_array (node);
   if (json_array_get_length (list) == 0 || json_array_get_length (list) > max)
-    cc_findings_add (r->f, name, "must have 1 to %u items", max);
+    cc_findings_add (r->f, name, "must hold 1 to %u items", max);
   for (guint i = 0; i < MIN (json_array_get_length (list), max); i++)
     {
       JsonNode *element = json_array_get_element (list, i);
@@ -296,16 +296,13 @@
       g_autofree char *place = g_strdup_printf ("pools[%u].slices", i);
 
       if (old != NULL && old->slices != p->slices)
-        cc_findings_add (f, place,
-                         "must stay %u for the life of the pool, is %u",
+        cc_findings_add (f, place, "is %u for the life of the pool, not %u",
                          old->slices, p->slices);
       /* A zone that is cut off still uses the old document: it would
        * continue to serve while its servers are taken over. */
       if (old != NULL && old->cut_off == CC_CUT_OFF_KEEP &&
           p->cut_off == CC_CUT_OFF_RELEASE)
-        cc_findings_add (
-            f, p->name,
-            "can't change \"cut_off\" from \"keep\" to \"release\"");
+        cc_findings_add (f, p->name, "keeps \"cut_off\": \"keep\" for life");
     }
 }
 
--- a/drain_api.c
+++ b/drain_api.c
@@ -63,13 +63,13 @@
     }
   else if (status == CC_UNKNOWN)
     cc_operator_answer_error (o->message, SOUP_STATUS_GATEWAY_TIMEOUT,
-                              "the platform's response was lost; repeat the "
-                              "request, it is idempotent",
+                              "the platform's answer was lost; give the order "
+                              "again, twice does no harm",
                               version);
   else
     cc_operator_answer_error (o->message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "the platform is unreachable; nothing was "
-                              "changed, retry",
+                              "the platform can't be reached; nothing was "
+                              "changed, ask again",
                               version);
   soup_server_message_unpause (o->message);
   g_object_unref (o->message);
@@ -129,10 +129,10 @@
     return;
   else if (g_strv_length (parts) != 5)
     cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
-                              "the path must be " DRAIN_PATH "/POOL/SERVER", 0);
+                              "the path is " DRAIN_PATH "/POOL/SERVER", 0);
   else if (drain && !is_known (api, parts[3], parts[4]))
     cc_operator_answer_error (m, SOUP_STATUS_NOT_FOUND,
-                              "no such server in the pool's map", 0);
+                              "there is no such server in the pool's map", 0);
   else
     write_request (api, m, row_key (parts[3], parts[4]), drain);
 }
--- a/entry.c
+++ b/entry.c
@@ -305,7 +305,7 @@
     reject_findings (m, &findings);
   else if (checked.left <= 0)
     reject_early (m, SOUP_STATUS_GATEWAY_TIMEOUT, "deadline",
-                  "the deadline has passed", 0);
+                  "the deadline is in the past", 0);
   else
     forward_request (e, m, &checked);
   cc_checked_clear (&checked);
@@ -326,7 +326,7 @@
                   "no configuration yet", STARTING_RETRY_AFTER_MS);
   else if (cc_hangup_detected (soup_server_message_get_socket (m)))
     reject_early (m, SOUP_STATUS_BAD_REQUEST, "cancelled",
-                  "the caller closed the connection", 0);
+                  "the caller has gone", 0);
   else
     check_and_forward (e, m);
 }
--- a/operator_http.c
+++ b/operator_http.c
@@ -86,7 +86,7 @@
   soup_message_headers_replace (soup_server_message_get_response_headers (m),
                                 "WWW-Authenticate", "Bearer");
   cc_operator_answer_error (m, SOUP_STATUS_UNAUTHORIZED,
-                            "changes require the operators' token", 0);
+                            "orders need the operators' token", 0);
   return FALSE;
 }
 
