--- a/promise.c
+++ b/promise.c
@@ -43,7 +43,7 @@
   v->records = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Frees what V holds. */
+/* Frees the records of V. */
 void
 cc_voter_clear (CcVoter *v)
 {
@@ -98,15 +98,15 @@
 }
 
 /* Begins a request at NOW about a lease row at VERSION.  It goes to the COUNT
- * voters that the voters' row names at version VOTERS. */
+ * voters that the voters' row names at version VOTERS_VERSION. */
 void
-cc_ballot_begin (CcBallot *b, guint64 version, guint64 voters, guint count,
-                 gint64 now)
+cc_ballot_begin (CcBallot *b, guint64 version, guint64 voters_version,
+                 guint count, gint64 now)
 {
   cc_ballot_clear (b);
   b->number++;
   b->version = version;
-  b->voters = voters;
+  b->voters_version = voters_version;
   b->needed = count / 2 + 1;
   b->requested_at = now;
   b->agreed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
--- a/promise.h
+++ b/promise.h
@@ -17,7 +17,7 @@
 typedef enum
 {
   CC_VOTE_REQUEST = 1, /* holder: requests a promise for its lease */
-  CC_VOTE_PROMISED,    /* voter: releases the lease to nobody for a term */
+  CC_VOTE_PROMISED,    /* voter: rejects releases of the lease for a term */
   CC_VOTE_RELEASE,     /* assigner: requests the release of a row version */
   CC_VOTE_RELEASED,    /* voter: no promise is in force or will be given */
   CC_VOTE_REFUSED      /* voter: rejects either request */
@@ -34,12 +34,12 @@
 /* One request to all voters, and the votes on it. */
 typedef struct
 {
-  guint64 number;      /* of the request; votes on others don't count */
-  guint64 version;     /* of the lease row that it is about */
-  guint64 voters;      /* version of the row that named the voters */
-  guint needed;        /* votes that make a majority */
-  gint64 requested_at; /* when the request was sent, us */
-  GHashTable *agreed;  /* set of the addresses of voters that agreed */
+  guint64 number;         /* of the request; votes on others don't count */
+  guint64 version;        /* of the lease row that it is about */
+  guint64 voters_version; /* of the row that named the voters */
+  guint needed;           /* votes that make a majority */
+  gint64 requested_at;    /* when the request was sent, us */
+  GHashTable *agreed;     /* set of the addresses of voters that agreed */
 } CcBallot;
 
 void cc_voter_init (CcVoter *v, gint64 now);
@@ -48,8 +48,8 @@
                            gint64 now);
 gboolean cc_voter_release (CcVoter *v, const char *id, guint64 version,
                            gint64 now);
-void cc_ballot_begin (CcBallot *b, guint64 version, guint64 voters, guint count,
-                      gint64 now);
+void cc_ballot_begin (CcBallot *b, guint64 version, guint64 voters_version,
+                      guint count, gint64 now);
 gboolean cc_ballot_count (CcBallot *b, guint64 number, const char *voter);
 void cc_ballot_clear (CcBallot *b);
 
--- a/takeover.c
+++ b/takeover.c
@@ -78,9 +78,10 @@
 }
 
 /* Deletes the lease in ROW and its holder's member row, if neither the lease
- * nor the voters' row, last read at version VOTERS, has changed. */
+ * nor the voters' row, last read at VOTERS_VERSION, has changed. */
 static void
-delete_lease (CcTakeover *t, const char *id, const CcRow *row, guint64 voters)
+delete_lease (CcTakeover *t, const char *id, const CcRow *row,
+              guint64 voters_version)
 {
   CcTransaction *x = cc_transaction_new ();
   g_autofree char *member = g_strconcat ("member/", id, NULL);
@@ -90,7 +91,7 @@
   d->id = g_strdup (id);
   g_hash_table_add (t->deleting, g_strdup (id));
   cc_transaction_check (x, row->key, row->version);
-  cc_transaction_check (x, VOTERS_ROW, voters);
+  cc_transaction_check (x, VOTERS_ROW, voters_version);
   cc_transaction_put (x, row->key, NULL);
   cc_transaction_put (x, member, NULL);
   cc_platform_commit (t->platform, x, on_deleted, d);
@@ -116,13 +117,13 @@
 {
   const char *id = row->key + strlen (LEASE_PREFIX);
   CcLeaseWatch *w = find_watch (t, id);
-  guint64 voters;
+  guint64 voters_version;
 
   cc_lease_watch (w, row->version, now);
   if (active && cc_lease_watch_lapsed (w, now) &&
       !g_hash_table_contains (t->deleting, id) &&
-      cc_voting_release (t->voting, id, row->version, now, &voters))
-    delete_lease (t, id, row, voters);
+      cc_voting_release (t->voting, id, row->version, now, &voters_version))
+    delete_lease (t, id, row, voters_version);
 }
 
 /* The version of the voters' row that the holder of LEASE knows; 0 if
--- a/tenure.c
+++ b/tenure.c
@@ -72,9 +72,9 @@
   gboolean held = cc_tenure_is_valid (t, cc_clock_now ());
 
   cc_metrics_gauge ("capercrank_lease_held", "", held);
-  if (held == t->told)
+  if (held == t->reported)
     return;
-  t->told = held;
+  t->reported = held;
   cc_log (held ? CC_LOG_INFO : CC_LOG_WARNING, "lease",
           held ? "lease of %s acquired" : "lease of %s lost, not sending work",
           t->id);
@@ -145,7 +145,7 @@
   if (status == CC_OK)
     cc_lease_renewed (&t->lease, version);
   else if (status == CC_UNKNOWN || status == CC_CONFLICT)
-    t->doubtful = TRUE; /* the row shows what was written, if any */
+    t->unconfirmed = TRUE; /* the row shows whether it was written */
   else
     cc_lease_failed (&t->lease);
   if (status == CC_OK && t->drain_sent)
@@ -231,7 +231,7 @@
   t->calling = FALSE;
   if (status != CC_OK)
     return;
-  t->doubtful = FALSE;
+  t->unconfirmed = FALSE;
   check_row (t, rows);
   report_state (t);
 }
@@ -276,7 +276,7 @@
     return G_SOURCE_CONTINUE;
   if (t->closing)
     delete_rows (t);
-  else if (t->doubtful)
+  else if (t->unconfirmed)
     {
       g_autofree char *key = lease_key (t);
 
--- a/tenure.h
+++ b/tenure.h
@@ -6,8 +6,8 @@
 #include "platform.h"
 
 typedef struct CcTenure CcTenure;
-/* Called when the lease is gained or lost; after a loss also when a new id is
- * chosen. */
+/* Called with HELD when the lease is gained or lost, and after a loss again
+ * when a new id has been chosen. */
 typedef void (*CcTenureChanged) (CcTenure *t, gboolean held, gpointer data);
 
 struct CcTenure
@@ -22,13 +22,13 @@
   gboolean may_register;  /* the view of the table is recent enough */
   guint64 voters_version; /* version of the newest voters' row in the view */
   gboolean calling;       /* a call to the platform is in progress */
-  gboolean doubtful;   /* a write's result is uncertain: read before the next */
-  gboolean draining;   /* hand all servers over to other dispatchers */
-  gboolean drain_sent; /* the last write that was sent reported it */
+  gboolean unconfirmed; /* a write's result is unknown: read before the next */
+  gboolean draining;    /* hand all servers over to other dispatchers */
+  gboolean drain_sent;  /* the last write that was sent reported it */
   gboolean drain_written; /* a write that reported it succeeded */
   gboolean closing;       /* the rows are to be deleted */
   gboolean closed;        /* the deletion was tried */
-  gboolean told;          /* the state last reported through CHANGED */
+  gboolean reported; /* whether the lease was held, as last passed to CHANGED */
   CcPlatform *platform;
   CcTenureChanged changed;
   gpointer data;
--- a/test/test_promise.c
+++ b/test/test_promise.c
@@ -63,7 +63,7 @@
   guint registration; /* counts registrations */
   gint64 row_seen_at;
   CcLeaseWatch watch;
-  gint32 loss; /* one message in so many is lost */
+  gint32 loss; /* one message in this number is lost */
   guint faults, extended, deleted;
 } World;
 
@@ -194,7 +194,7 @@
     return;
   if (m->version != w->row && !(deletes && w->omit == OMIT_ROW_CHECK))
     {
-      if (!deletes) /* the holder reads what stands there */
+      if (!deletes) /* the holder reads the present row */
         send_message (w, (Message){ FROM_TABLE, 0, 0, 0, 0, w->row, 0 });
       return;
     }
--- a/voting.c
+++ b/voting.c
@@ -18,7 +18,7 @@
 #define RENEWAL_LATE (2 * CC_LEASE_PERIOD)
 #define REQUEST_PERIOD (CC_LEASE_PERIOD / 2)
 #define ISOLATED_AFTER CC_SECOND /* five requests without enough answers */
-#define VOTE_EXPIRY (CC_SECOND + CC_SKEW_MAX) /* a vote is useless by then */
+#define VOTE_EXPIRY (CC_SECOND + CC_SKEW_MAX) /* votes are not used later */
 
 /* An assigner's request to release one lease. */
 typedef struct
@@ -41,7 +41,7 @@
   guint64 voters_version; /* of the row that VOTERS was read from */
   GPtrArray *voters;
   GHashTable *releases;     /* lease id to Release */
-  gint64 no_majority_since; /* too few voters answer since, us; 0: enough */
+  gint64 no_majority_since; /* us; 0: a majority answers */
   CcCounter *promised;
   CcCounter *released;
   CcCounter *refused;
@@ -149,7 +149,7 @@
 
   if (!g_str_equal (m->u.vote.instance, v->tenure->id) ||
       !cc_voters_contain (v->voters, m->reply_to) ||
-      v->promises.voters != v->voters_version ||
+      v->promises.voters_version != v->voters_version ||
       !cc_ballot_count (&v->promises, m->u.vote.ballot, m->reply_to))
     return;
   cc_lease_extend (l, v->promises.requested_at, cc_clock_now ());
@@ -170,7 +170,7 @@
   Release *r = g_hash_table_lookup (v->releases, m->u.vote.instance);
 
   if (r == NULL || !cc_voters_contain (v->voters, m->reply_to) ||
-      r->ballot.voters != v->voters_version)
+      r->ballot.voters_version != v->voters_version)
     return;
   if (m->u.vote.ballot == r->ballot.number)
     g_hash_table_add (r->answered, g_strdup (m->reply_to));
@@ -247,17 +247,17 @@
 }
 
 /* Whether a majority of the voters has released lease ID at VERSION, so that it
- * may be deleted.  *VOTERS is set to the version of the voters' row (0: there
+ * may be deleted.  *VOTERS_VERSION is set to that of the voters' row (0: there
  * is none), which the deletion must check.  If FALSE, the release is requested
  * when due; the caller repeats the call. */
 gboolean
 cc_voting_release (CcVoting *v, const char *id, guint64 version, gint64 now,
-                   guint64 *voters)
+                   guint64 *voters_version)
 {
   Release *r = g_hash_table_lookup (v->releases, id);
 
   read_voters (v);
-  *voters = v->voters_version;
+  *voters_version = v->voters_version;
   if (v->voters->len == 0)
     return TRUE;
   if (r == NULL)
@@ -268,7 +268,7 @@
       g_hash_table_insert (v->releases, g_strdup (id), r);
     }
   if (r->agreed && r->ballot.version == version &&
-      r->ballot.voters == v->voters_version)
+      r->ballot.voters_version == v->voters_version)
     return TRUE;
   if (now < r->due)
     return FALSE;
--- a/voting.h
+++ b/voting.h
@@ -14,6 +14,6 @@
 void cc_voting_receive (CcVoting *v, const CcMessage *m);
 gboolean cc_voting_is_isolated (const CcVoting *v, gint64 now);
 gboolean cc_voting_release (CcVoting *v, const char *id, guint64 version,
-                            gint64 now, guint64 *voters);
+                            gint64 now, guint64 *voters_version);
 
 #endif
