--- a/holding.c
+++ b/holding.c
@@ -1,5 +1,5 @@
 /* The state of one held server, without network or clock.  It must prevent that
- * two servers run requests for the same slice, also when a server is frozen and
+ * two servers run requests for the same slice, also when a server is paused and
  * resumes later.
  *
  * An attempt for a slice may be sent if the slice is owned, its move is
@@ -14,7 +14,7 @@
  *    so that it rejects attempts that are still in its receive buffers; or, if
  *    it does not answer, its last grant has expired by its own clock;
  *  - a server that doesn't check grants may still run an attempt that ended
- *    without an answer.  Work that was begun before a freeze takes effect after
+ *    without an answer.  Work that was begun before a pause takes effect after
  *    it, whatever its deadline.  The slices of a silent server with such an
  *    attempt therefore stay with it until it answers again and has had time to
  *    end its work, or until the platform doesn't list it.  Meanwhile its keys
@@ -22,11 +22,11 @@
  */
 #include "holding.h"
 
-/* Creates the state of a server S of POOL that this dispatcher holds since NOW.
- * It is lost after CC_SERVER_SUSPECT without a first answer, sooner than later
- * on, and gets only one grant until then: each grant has to expire before the
- * slices can be served elsewhere, and a zone that is cut off may contain both
- * the previous holder and the server.  QUIET_AT (wall clock) is when all
+/* Creates the state of a server S of POOL that this dispatcher holds from NOW
+ * on. It is lost after CC_SERVER_SUSPECT without a first answer, sooner than
+ * later on, and gets only one grant until then: each grant has to expire before
+ * the slices can be served elsewhere, and a zone that is cut off may contain
+ * both the previous holder and the server.  QUIET_AT (wall clock) is when all
  * attempts of earlier dispatchers have ended; 0 if there were none. */
 CcHolding *
 cc_holding_new (const char *pool, const CcMapServer *s, gboolean checks_grants,
@@ -301,9 +301,9 @@
   return h->lost && (h->checks_grants || !h->unconfirmed);
 }
 
-/* Clears the mark of unconfirmed attempts when they have certainly ended.  An
+/* Clears H->unconfirmed when the unanswered attempts have certainly ended.  An
  * answer from before their deadlines does not show this: the server may have
- * been frozen just after it, with an attempt that takes effect when it resumes.
+ * been paused just after it, with an attempt that takes effect when it resumes.
  */
 static void
 confirm_ended (CcHolding *h, gint64 now, gint64 wall)
@@ -321,8 +321,8 @@
     h->unconfirmed = FALSE;
 }
 
-/* The newest map version, if all work that it took from this server has
- * certainly stopped at NOW (WALL by the wall clock); 0 if not. */
+/* The newest map version, if all work that it removed from this server has
+ * certainly stopped at NOW (WALL by the wall clock); otherwise 0. */
 guint64
 cc_holding_applied (CcHolding *h, gint64 now, gint64 wall)
 {
--- a/holding.h
+++ b/holding.h
@@ -8,7 +8,7 @@
 
 /* How long a grant is valid, from when it was sent.  The grant contains its end
  * as wall clock time, and the server uses the earlier of that and this duration
- * from its receipt.  The receipt alone is not enough: a frozen server that
+ * from its receipt.  The receipt alone is not enough: a paused server that
  * resumes would accept a grant from its receive buffer, and with it requests
  * that were sent together, although its slices were moved to another server.
  * Shorter than the lease's term, so that a server cut off from its dispatcher
@@ -21,8 +21,8 @@
 /* After this long without an answer, the server is lost and its slices are
  * assigned to others. */
 #define CC_SERVER_LOST_AFTER (1000 * CC_MS)
-/* How long a server that doesn't check grants must answer again until all work
- * that it had begun has ended: the longest deadline of any class of such a
+/* All work that a server which doesn't check grants had begun has ended once it
+ * has answered again for this long: the longest deadline of any class of such a
  * pool. */
 #define CC_SERVER_SETTLE (3 * CC_SECOND)
 /* The end of a grant is compared with the server's wall clock. */
@@ -45,7 +45,7 @@
   gboolean active;       /* this dispatcher may send to it */
   gboolean handing_over; /* another dispatcher waits for this one to stop */
   gboolean checks_grants;
-  gboolean keeps;       /* served on without a lease, cut_off.c */
+  gboolean keeps;       /* continues to be served without a lease, cut_off.c */
   GHashTable *slices;   /* slice to CcHeldSlice */
   guint64 map_version;  /* of the newest map that was applied */
   guint64 serial;       /* counts changes of the list of granted slices */
@@ -55,8 +55,10 @@
   gint64 answered;      /* when it last answered anything, us */
   gint64 stalled_for;   /* how long this process was paused since then, us */
   gboolean unconfirmed; /* it may still run an unanswered attempt */
-  gint64 quiet_at;      /* wall clock: the deadlines of those have passed, us */
-  gint64 quiet_since;   /* when that was first detected, us; 0: not yet */
+  gint64 quiet_at; /* latest deadline of those attempts, plus skew; wall clock,
+                      us */
+  gint64 quiet_since; /* when that time was first seen to have passed, us; 0:
+                         not yet */
   gint64 answering_since; /* start of its answers without a longer silence than
                              CC_SERVER_SUSPECT, us */
   gboolean gone;          /* the platform doesn't list it */
--- a/outcome_transfer.c
+++ b/outcome_transfer.c
@@ -11,7 +11,7 @@
  * has to inquire, but nothing runs twice.
  *
  * The records must be those of the hold immediately before.  A dispatcher that
- * was frozen while another held the slice would otherwise send records with a
+ * was paused while another held the slice would otherwise send records with a
  * gap, and a horizon that hides the gap.  So the sender checks that the map
  * still shows the move as incomplete and away from itself: its server has its
  * term, or is being handed over from it under the next term, and the slice has
@@ -21,8 +21,9 @@
 
 #include <string.h>
 
-/* Later than any clock, and far enough below G_MAXINT64 for additions.  A
- * horizon above it means that no records of the slice are known. */
+/* Later than any wall clock time, and far enough below G_MAXINT64 for
+ * additions.  A horizon above it means that no records of the slice are known.
+ */
 #define HORIZON_MAX (G_MAXINT64 / 2)
 
 typedef struct
--- a/test/test_outcome_transfer.c
+++ b/test/test_outcome_transfer.c
@@ -1,6 +1,7 @@
 /* Guards against a request that runs twice, and, if nothing is lost, against a
  * repeat answered "unknown" after a move: slices and servers move among
- * processes that freeze or lose their lease, and messages are lost or late. */
+ * processes that are paused or lose their lease, and messages are lost or late.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdint.h>
@@ -37,7 +38,7 @@
   guint ids; /* how many ids it has had */
   char *id;
   guint64 incarnation;
-  gboolean frozen;
+  gboolean paused;
   CcSliceMap *map; /* as it last read it; NULL: not yet */
   CcOutcomes *outcomes;
   CcTransfer *transfer;
@@ -186,7 +187,7 @@
 static void
 read_map (World *w, Process *p)
 {
-  if (p->frozen)
+  if (p->paused)
     return;
   if (p->map != NULL)
     cc_slicemap_free (p->map);
@@ -257,7 +258,7 @@
   w->moves++;
 }
 
-/* Splits a key out of its slice into its own unit, or folds a unit back. */
+/* Splits a key out of its slice into its own unit, or merges a unit back. */
 static void
 split_or_fold (World *w)
 {
@@ -381,7 +382,7 @@
       Process *p = &w->p[i];
       guint unit;
 
-      if (p->frozen || p->map == NULL)
+      if (p->paused || p->map == NULL)
         continue;
       unit = cc_slicemap_unit (p->map, k->hash);
       if (!holds (p, unit))
@@ -418,10 +419,10 @@
 {
   Process *p = &w->p[g_rand_int_range (w->rand, 0, PROCESSES)];
 
-  if (p->frozen)
-    p->frozen = FALSE;
+  if (p->paused)
+    p->paused = FALSE;
   else if (chance (w, 50))
-    p->frozen = TRUE;
+    p->paused = TRUE;
   else
     lose_lease (w, p);
 }
