--- a/config_api.c
+++ b/config_api.c
@@ -66,10 +66,10 @@
 }
 
 /* Responds by the row's contents if the response to the write was lost.  If the
- * row holds the document, it was accepted.  If it holds another one, newer than
- * the version to be replaced, the document is not in force and can't become so,
- * since its version check fails from now on.  If the row is unchanged, the
- * write may still be in flight, and the result is unknown. */
+ * row contains the document, it was accepted.  If it contains another one,
+ * newer than the version to be replaced, the document is not in force and can't
+ * become so, since its version check fails from now on.  If the row is
+ * unchanged, the write may still be in flight, and the result is unknown. */
 static void
 respond_by_row (Submit *s, guint64 version, const char *value)
 {
@@ -170,11 +170,11 @@
   return valid;
 }
 
-/* Returns TRUE if BASE is the version that this process holds; otherwise
- * responds with an error.  A document is validated against the one held here,
- * so that must be the one it replaces: a process that lags behind the table
- * would otherwise accept a change to what is fixed, such as the number of a
- * pool's slices. */
+/* Returns TRUE if BASE is the version in the local view; otherwise responds
+ * with an error.  A document is validated against the one in the local view, so
+ * that must be the one it replaces: a process that lags behind the table would
+ * otherwise accept a change to what is fixed, such as the number of a pool's
+ * slices. */
 static gboolean
 check_base_version (ConfigApi *api, SoupServerMessage *m, guint64 base)
 {
--- a/ctl_call.c
+++ b/ctl_call.c
@@ -8,7 +8,7 @@
 
 /* Longer than the assigner's timeout for a call to the platform plus the read
  * that follows it, so that the assigner reports a slow platform before this
- * client gives up. */
+ * client times out. */
 #define REQUEST_TIMEOUT_S 10
 
 /* Frees the members of A. */
--- a/document.h
+++ b/document.h
@@ -8,8 +8,8 @@
 
 typedef enum
 {
-  CC_PREFER_AVAILABILITY, /* move keys early: availability outweighs churn */
-  CC_PREFER_STABILITY     /* move keys rarely: churn outweighs availability */
+  CC_PREFER_AVAILABILITY, /* move keys early, at the cost of more churn */
+  CC_PREFER_STABILITY     /* move keys rarely, at the cost of availability */
 } CcPreference;
 
 typedef enum
@@ -26,7 +26,7 @@
   CcPreference prefer;
   CcCutOff cut_off;
   gboolean checks_grants; /* its servers reject requests without a grant */
-  guint slices;           /* number of slices; fixed for the pool's life */
+  guint slices;           /* number of slices; can't be changed later */
 } CcPool;
 
 typedef struct
--- a/drain_api.c
+++ b/drain_api.c
@@ -40,7 +40,7 @@
   return g_strconcat ("drain/", pool, "/", server, NULL);
 }
 
-/* Returns TRUE if the view V holds a drain request for SERVER of POOL. */
+/* Returns TRUE if the view V contains a drain request for SERVER of POOL. */
 gboolean
 cc_drain_is_requested (const CcView *v, const char *pool, const char *server)
 {
--- a/event_log.c
+++ b/event_log.c
@@ -3,7 +3,7 @@
  * Load pattern: under overload every request fails and would produce a line.
  * Without a limit, logging takes CPU time from requests, and a reader that
  * stops reading blocks the process.  So each kind of line has a token bucket;
- * the file is non-blocking, and what the pipe does not take is kept in a
+ * the file is non-blocking, and what the pipe does not accept is kept in a
  * bounded buffer and dropped when that is full.  Dropped lines are counted, and
  * the count is logged once there is capacity.  Failed requests have a budget of
  * their own, so that lines on successful ones can't displace them. */
--- a/hangup.c
+++ b/hangup.c
@@ -2,15 +2,16 @@
  * while its request is queued or in flight.  libsoup's server does not read
  * while a message is paused, so it does not detect the close within 500 ms, nor
  * before the response is written, and servers run requests whose caller has
- * gone.  So the sockets are polled here for a hang-up of the peer, without
- * reading from them; data of a further pipelined request is not a hang-up.
+ * disconnected.  So the sockets are polled here for a hang-up of the peer,
+ * without reading from them; data of a further pipelined request is not a
+ * hang-up.
  *
  * All sockets are polled together, every POLL_PERIOD_MS, in one system call: a
  * main loop source per request would cost more than the request's own timer.
  *
  * libsoup also treats a chunked body as complete if the caller closes in the
  * middle of it; so callers of this module check cc_hangup_detected before they
- * forward a request, and drop it if the peer has gone. */
+ * forward a request, and drop it if the peer has disconnected. */
 #define _GNU_SOURCE
 #include "hangup.h"
 
--- a/log.c
+++ b/log.c
@@ -32,12 +32,12 @@
   logger.json = json;
 }
 
-/* Parses the name of a level.  Returns FALSE if WORD is not one. */
+/* Parses the name of a level.  Returns FALSE if NAME is not one. */
 gboolean
-cc_log_parse_level (const char *word, CcLogLevel *level)
+cc_log_parse_level (const char *name, CcLogLevel *level)
 {
   for (guint i = 0; i < G_N_ELEMENTS (level_names); i++)
-    if (g_str_equal (word, level_names[i]))
+    if (g_str_equal (name, level_names[i]))
       {
         *level = (CcLogLevel) i;
         return TRUE;
--- a/log.h
+++ b/log.h
@@ -14,7 +14,7 @@
 
 void cc_log_setup (const char *program, const char *instance, CcLogLevel lowest,
                    gboolean json);
-gboolean cc_log_parse_level (const char *word, CcLogLevel *level);
+gboolean cc_log_parse_level (const char *name, CcLogLevel *level);
 void cc_log (CcLogLevel level, const char *event, const char *format, ...)
     G_GNUC_PRINTF (3, 4);
 
--- a/operator_http.c
+++ b/operator_http.c
@@ -2,9 +2,9 @@
  * bearer token.
  *
  * If a token is set (CAPERCRANK_OPERATOR_TOKEN), requests that change something
- * must carry it; reads need none.  It keeps a misdirected script, or any
- * process that can reach the admin port, from changing the configuration.  It
- * is sent over plain HTTP, so anyone who can read the network's traffic can
+ * must carry it; reads need none.  The token prevents a misdirected script, or
+ * any process that can reach the admin port, from changing the configuration.
+ * It is sent over plain HTTP, so anyone who can read the network's traffic can
  * read it. */
 #include "operator_http.h"
 
--- a/settings.c
+++ b/settings.c
@@ -12,9 +12,9 @@
 #include "capercrank.h"
 #include "log.h"
 
-#define FIXED_ARGUMENTS                                                        \
-  6 /* 3 flags, 2 log settings, end                                            \
-     */
+/* Entries of the argument table that each program has: three flags, two log
+ * settings and the end marker. */
+#define FIXED_ARGUMENTS 6
 
 static CcSetting log_settings[] = {
   { CC_SETTING_STRING, "log-level", "info", "debug, info, warning or error", 0,
--- a/version_clock.c
+++ b/version_clock.c
@@ -1,8 +1,8 @@
 /* Bounds the write time of rows by their versions.  Failure: a process is late
  * to receive the update that an upstream is leaving, since the peer whose copy
- * it follows was lost, and counts the time for which that upstream still serves
- * from the receipt of the update.  It then sends requests there after the
- * upstream has exited.
+ * it follows was lost, and takes the receipt of the update as the start of
+ * the time for which that upstream continues to serve.  It then sends requests
+ * there after the upstream has exited.
  *
  * Updates carry no time, but a version, and all versions come from one counter.
  * Each response of the table service names the newest version at that moment,
