--- a/capercrank.c
+++ b/capercrank.c
@@ -1,4 +1,4 @@
-/* Names of the outcomes of the public header. */
+/* Text form of the outcomes, as callers and metrics see them. */
 #include "capercrank.h"
 
 /* Returns the name of OUTCOME, as in the header CC_HDR_OUTCOME. */
--- a/capercrank.h
+++ b/capercrank.h
@@ -64,7 +64,7 @@
 /* Limits on untrusted input. */
 #define CC_KEY_MAX 1024 /* bytes of a key */
 #define CC_NAME_MAX 128 /* bytes of a class, tenant or pool name */
-#define CC_BODY_MAX (8 * 1024 * 1024) /* bytes of a body, either way */
+#define CC_BODY_MAX (8 * 1024 * 1024) /* bytes, request or response */
 #define CC_HEADERS_MAX (32 * 1024)    /* bytes of all headers of a request */
 #define CC_TIMEOUT_MAX_MS 60000       /* longest deadline of any class */
 
--- a/dispatch.c
+++ b/dispatch.c
@@ -1,5 +1,5 @@
-/* capercrank-dispatch: the only process that sends work to the servers whose
- * lease it holds.
+/* capercrank-dispatch: the only process that sends work to the servers that it
+ * holds under its lease.
  *
  * There is one per instance.  It follows the platform's table, renews its
  * lease, takes over the servers that the slice maps assign to it, and runs
@@ -18,8 +18,8 @@
 #include "metrics.h"
 
 #define TICK_MS 20
-#define PLATFORM_TIMEOUT                                                       \
-  (700 * CC_MS)                    /* three calls start within a lease term */
+/* Three calls start within a lease term. */
+#define PLATFORM_TIMEOUT (700 * CC_MS)
 #define DRAIN_MAX (20 * CC_SECOND) /* then exits, even with servers held */
 
 static void
@@ -119,8 +119,8 @@
   return pool != NULL && pool->cut_off == CC_CUT_OFF_KEEP;
 }
 
-/* Notes and logs that M removes units from server INDEX, so that reports.c logs
- * when their work has stopped. */
+/* Records and logs that M removes units from server INDEX, so that reports.c
+ * logs when their work has stopped. */
 static void
 track_removed_units (CcServer *s, const CcSliceMap *m, gint32 index)
 {
--- a/entry.c
+++ b/entry.c
@@ -2,9 +2,9 @@
  * each to the dispatcher that owns its key, and returns the response.
  *
  * A request whose caller closes the connection is cancelled at its dispatcher,
- * so that servers do not work until the deadline for nobody.  The size of a
- * body is limited while it is read, so that an endless one cannot exhaust
- * memory. */
+ * so that its server does not continue until the deadline with work whose
+ * response nobody receives.  The size of a body is limited while it is read, so
+ * that an endless one cannot exhaust memory. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,9 +23,8 @@
 #include "request_check.h"
 #include "settings.h"
 
-#define DRAIN_MIN                                                              \
-  (3 * CC_SECOND) /* by then the load balancer stops sending                   \
-                   */
+/* Minimum drain time, in which the load balancer stops sending requests. */
+#define DRAIN_MIN (3 * CC_SECOND)
 #define DRAIN_MAX (30 * CC_SECOND)
 #define STARTING_RETRY_AFTER_MS 1000 /* a dispatcher has responded by then */
 #define TENANT_DEFAULT "anonymous"
--- a/exchange.c
+++ b/exchange.c
@@ -16,7 +16,8 @@
 /* Delay before a retry after the key moved, unless the key ranges change
  * earlier. */
 #define MOVED_RETRY_DELAY (60 * CC_MS)
-/* Delay of a retry at an owner, in requests that the owner serves meanwhile. */
+/* Delay of a retry at an owner, as the number of requests that the owner serves
+ * meanwhile. */
 #define OWNER_RETRY_AFTER 1.5
 /* A connection reset within this share of the typical work time was not reset
  * by work that failed. */
@@ -39,7 +40,8 @@
   g_free (e);
 }
 
-/* Returns the estimated number of requests inside T that E's admission uses. */
+/* Returns the estimated number of requests in progress at T, as used for the
+ * admission of E. */
 double
 cc_exchange_inside (const CcExchange *e, const CcTarget *t, gint64 now)
 {
@@ -354,7 +356,7 @@
 
 /* Whether E's upstream reset the connection because of its load: immediately,
  * as when its queue is full.  This is no proof that the work did not start,
- * only a sign of the upstream's capacity. */
+ * only a sign that the upstream is at capacity. */
 static gboolean
 is_overload_reset (const CcExchange *e, const CcHttpResult *r)
 {
--- a/exchange_state.h
+++ b/exchange_state.h
@@ -45,7 +45,7 @@
   char *headers;
   GBytes *body;
   CcCallerInfo caller;
-  CcTarget *considered; /* the upstream without capacity for it */
+  CcTarget *considered; /* the upstream that had no capacity for it */
   CcTarget *target;     /* of the attempt in progress or the last one */
   GPtrArray *tried;     /* of CcTarget */
   CcHttpCall *call;
--- a/intake.c
+++ b/intake.c
@@ -84,7 +84,7 @@
   cc_server_submit (s, j, class);
 }
 
-/* Starts the request in M, no part of which has run here.  Without a lease
+/* Starts the request in M, of which no attempt was made here.  Without a lease
  * another dispatcher may have run it meanwhile, so the entry has to route it
  * again. */
 static void
--- a/mailbox.c
+++ b/mailbox.c
@@ -43,9 +43,9 @@
   gint pipe;          /* id of the connection, 0: none; set by nng's threads */
   gint reported_pipe; /* value of PIPE that the main loop last handled */
   CcLinkHealth health;
-  guint64 peer_incarnation; /* of the process at the other end, if proven */
+  guint64 peer_incarnation; /* of the process that answered pings last */
   gint64 silent_since; /* when the link was closed as silent, us; 0: it was not,
-                          or is proven since */
+                          or a ping was answered since */
 } Link;
 
 struct CcMailbox
@@ -78,7 +78,7 @@
 /* Schedules process_queues on the main loop.  Runs on nng's threads with the
  * lock held.  It attaches a source, since g_main_context_invoke, before the
  * main loop runs, would call process_queues on this thread under the lock: a
- * process that received a message while starting would hang forever. */
+ * process that received a message while starting would deadlock. */
 static void
 wake (CcMailbox *box)
 {
@@ -94,7 +94,8 @@
   g_source_unref (source);
 }
 
-/* Runs on nng's thread. */
+/* Queues a received message and starts the next receive.  Runs on nng's
+ * thread. */
 static void
 on_receive (void *arg)
 {
@@ -436,8 +437,8 @@
   transmit (box, l, &answer);
 }
 
-/* Whether a message may wait for a link.  A request may not, so that its entry
- * learns immediately that it was not sent. */
+/* Whether a message of KIND may be queued while the link is down.  A request
+ * may not, so that its entry can immediately report that it was not sent. */
 static gboolean
 may_be_queued (CcMessageKind kind)
 {
--- a/reports.c
+++ b/reports.c
@@ -79,8 +79,8 @@
 }
 
 /* Sends the attempt records of slices removed from S to their next holders.
- * They are sent before the report that lets those begin, so they usually arrive
- * in time.  Returns FALSE while a link is full. */
+ * They are sent before the report that allows the next holders to begin, so
+ * they usually arrive in time.  Returns FALSE while a link is full. */
 static gboolean
 send_removed_outcomes (CcDispatcher *d, CcServer *s, guint64 applied)
 {
--- a/router.c
+++ b/router.c
@@ -11,8 +11,8 @@
  * dispatcher handed over its servers and its attempt records before it exited,
  * so its requests wait for the map that names the next owner.
  *
- * A silent link may mean a dispatcher that is paused and resumes, with the
- * request and its attempt records intact.  So the reply is awaited for
+ * A silent link may lead to a dispatcher that is paused and resumes later, with
+ * the request and its attempt records intact.  So the reply is awaited for
  * SILENT_WAIT_MAX, and the request is sent again once the link carries
  * messages; the attempt records join the two copies of a once-only request.
  *
@@ -29,7 +29,7 @@
 #include "timers.h"
 
 #define PARK_MAX (250 * CC_MS) /* a move takes 10 to 50 ms */
-/* A lost or silent link to a live process is restored within 200 ms (the
+/* A lost or silent link to a running process is restored within 200 ms (the
  * mailbox's RECONNECT_MAX_MS and a ping).  If it is not, a takeover of the
  * servers follows, which takes seconds, so the request is answered instead. */
 #define RECONNECT_PARK_MAX (500 * CC_MS)
@@ -43,11 +43,11 @@
  * without needing another copy. */
 #define RESEND_DELAY (100 * CC_MS)
 #define PARK_RECHECK_MS 10 /* recheck interval of parked requests */
-#define TAKEOVER_RETRY_AFTER_MS                                                \
-  1000                          /* a lost dispatcher is replaced in 2 to 3 s */
+/* A lost dispatcher is replaced in 2 to 3 s. */
+#define TAKEOVER_RETRY_AFTER_MS 1000
 #define MOVE_RETRY_AFTER_MS 100 /* a move that took longer than PARK_MAX */
-#define REPLY_GRACE                                                            \
-  (30 * CC_MS) /* for the dispatcher's reply at the deadline */
+/* Extra time for the dispatcher's reply at the deadline. */
+#define REPLY_GRACE (30 * CC_MS)
 
 typedef enum
 {
@@ -407,8 +407,7 @@
   return route (p) ? p : NULL;
 }
 
-/* Asks the dispatcher of C to cancel the request, if a reply to C is awaited.
- */
+/* Sends a cancellation to the dispatcher of C, if a reply to C is awaited. */
 static void
 cancel_copy (CcRouter *r, const Copy *c, gint64 deadline)
 {
--- a/server.h
+++ b/server.h
@@ -41,9 +41,9 @@
   gboolean granting;  /* a grant or probe is in progress */
   gint64 grant_due;   /* time of the next one, us */
   CcConnectionHealth connections;
-  gint64 last_tick;         /* last cc_server_tick, us; 0: none */
-  gboolean contacted;       /* lease valid then: grants or probes were sent */
-  gboolean closed;          /* to be freed by the callback of the grant */
+  gint64 last_tick;   /* last cc_server_tick, us; 0: none */
+  gboolean contacted; /* whether the lease allowed grants or probes then */
+  gboolean closed;    /* to be freed by the callback of the grant */
   guint64 applied_reported; /* applied map version last reported */
   guint64 removal_version;  /* newest map version that removes units; 0: none */
   gint64 removal_read_at;   /* when that was read, us */
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -380,7 +380,7 @@
 }
 
 /* Guards against an endless chunked body that is collected in memory instead of
- * * being rejected at the limit. */
+ * being rejected at the limit. */
 static void
 endless_body_is_refused (void **state)
 {
@@ -407,7 +407,7 @@
 }
 
 /* Guards against malformed requests that reach a dispatcher or that keep other
- * * callers from being served. */
+ * callers from being served. */
 static void
 bad_input_does_not_affect_others (void **state)
 {
@@ -531,7 +531,7 @@
 }
 
 /* Guards against outcome unknown for a request whose dispatcher pauses briefly
- * * and then answers it before the deadline. */
+ * and then answers it before the deadline. */
 static void
 paused_dispatcher_is_awaited (void **state)
 {
--- a/wire.h
+++ b/wire.h
@@ -53,7 +53,7 @@
 {
   CcOutcome outcome;
   gboolean reroute;    /* not run here: retry at the owner in a newer map */
-  const char *reason;  /* one word, for a header of the answer */
+  const char *reason;  /* one word, for CC_HDR_REASON */
   guint32 retry_after; /* ms; with not-run */
   guint32 status;      /* HTTP status of the server's answer; 0 if none */
   GVariant *headers;   /* packed, see headers.h */
@@ -94,7 +94,7 @@
 {
   guint32 what;         /* CcVoteKind of promise.h */
   const char *instance; /* whose lease */
-  guint64 term;         /* of that lease */
+  guint64 term;         /* version of that lease's row */
   guint64 ballot;       /* matches a reply to its request */
 } CcMsgVote;
 
