--- a/config_api.c
+++ b/config_api.c
@@ -22,8 +22,8 @@
 #define HEAD_KEY "config/head"
 #define CHECK_PARAMETER "check" /* query parameter: validate only */
 #define SUPERSEDED                                                             \
-  "another document has been accepted since that version; read it, then "      \
-  "submit against its version"
+  "another document was accepted meanwhile; read it, then submit against its " \
+  "version"
 #define STATUS_PRECONDITION_REQUIRED 428 /* RFC 6585; libsoup has no name */
 
 typedef struct
@@ -66,10 +66,10 @@
 }
 
 /* Responds by the row's contents if the response to the write was lost.  If the
- * row holds the document, it was accepted.  If it holds another one, newer than
- * the version to be replaced, the document is not in force and can't become so,
- * since its version check fails from now on.  If the row is unchanged, the
- * write may still be in flight, and the result is unknown. */
+ * row contains the document, it was accepted.  If it contains another one,
+ * newer than the version to be replaced, the document is not in force and can't
+ * become so, since its version check fails from now on.  If the row is
+ * unchanged, the write may still be in flight, and the result is unknown. */
 static void
 respond_by_row (Submit *s, guint64 version, const char *value)
 {
@@ -81,8 +81,8 @@
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_GATEWAY_TIMEOUT,
-        "the platform's response was lost; the document may or may not be "
-        "accepted later, read the document in force before a retry",
+        "the platform's answer was lost; it is not known whether the "
+        "document will be accepted, ask again",
         version);
 }
 
@@ -123,7 +123,7 @@
   else
     cc_operator_answer_error (
         s->message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-        "the platform is unreachable; nothing was changed", 0);
+        "the platform can't be reached; nothing was changed", 0);
   submit_free (s);
 }
 
@@ -170,11 +170,11 @@
   return valid;
 }
 
-/* Returns TRUE if BASE is the version that this process holds; otherwise
- * responds with an error.  A document is validated against the one held here,
- * so that must be the one it replaces: a process that lags behind the table
- * would otherwise accept a change to what is fixed, such as the number of a
- * pool's slices. */
+/* Returns TRUE if BASE is the version in the local view; otherwise responds
+ * with an error.  A document is validated against the one in the local view, so
+ * that must be the one it replaces: a process that lags behind the table would
+ * otherwise accept a change to what is fixed, such as the number of a pool's
+ * slices. */
 static gboolean
 check_base_version (ConfigApi *api, SoupServerMessage *m, guint64 base)
 {
@@ -186,8 +186,8 @@
     cc_operator_answer_error (m, SOUP_STATUS_CONFLICT, SUPERSEDED, known);
   else
     cc_operator_answer_error (m, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "this instance has not received that version "
-                              "yet; retry, or use another instance",
+                              "this instance does not hold that version yet; "
+                              "ask again, or ask another one",
                               known);
   return FALSE;
 }
@@ -208,14 +208,14 @@
       !g_ascii_string_to_unsigned (match, 10, 0, G_MAXINT64, &base, NULL))
     {
       cc_operator_answer_error (m, SOUP_STATUS_BAD_REQUEST,
-                                "If-Match must be a version number", 0);
+                                "If-Match must be a version", 0);
       return;
     }
   if (match == NULL && !check_only)
     {
       cc_operator_answer_error (
           m, STATUS_PRECONDITION_REQUIRED,
-          "If-Match must give the version to replace, 0 if there is none",
+          "If-Match must name the version to replace, 0 for none",
           api->follower->document_version);
       return;
     }
--- a/entry.c
+++ b/entry.c
@@ -2,9 +2,9 @@
  * each to the dispatcher that owns its key, and returns the response.
  *
  * A request whose caller closes the connection is cancelled at its dispatcher,
- * so that servers do not work until the deadline for nobody.  The size of a
- * body is limited while it is read, so that an endless one cannot exhaust
- * memory. */
+ * so that its server does not continue until the deadline with work whose
+ * response nobody receives.  The size of a body is limited while it is read, so
+ * that an endless one cannot exhaust memory. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,9 +23,8 @@
 #include "request_check.h"
 #include "settings.h"
 
-#define DRAIN_MIN                                                              \
-  (3 * CC_SECOND) /* by then the load balancer stops sending                   \
-                   */
+/* Minimum drain time, in which the load balancer stops sending requests. */
+#define DRAIN_MIN (3 * CC_SECOND)
 #define DRAIN_MAX (30 * CC_SECOND)
 #define STARTING_RETRY_AFTER_MS 1000 /* a dispatcher has responded by then */
 #define TENANT_DEFAULT "anonymous"
@@ -305,7 +304,7 @@
     reject_findings (m, &findings);
   else if (checked.left <= 0)
     reject_early (m, SOUP_STATUS_GATEWAY_TIMEOUT, "deadline",
-                  "the deadline has passed", 0);
+                  "the deadline is in the past", 0);
   else
     forward_request (e, m, &checked);
   cc_checked_clear (&checked);
@@ -326,7 +325,7 @@
                   "no configuration yet", STARTING_RETRY_AFTER_MS);
   else if (cc_hangup_detected (soup_server_message_get_socket (m)))
     reject_early (m, SOUP_STATUS_BAD_REQUEST, "cancelled",
-                  "the caller closed the connection", 0);
+                  "the caller has gone", 0);
   else
     check_and_forward (e, m);
 }
