--- a/backlog.c
+++ b/backlog.c
@@ -14,14 +14,14 @@
 /* Time constant of the rate of ended attempts: about three response times. */
 #define RATE_TIME_CONSTANT (700 * CC_MS)
 /* A response may come after the target by this part of it and still be of some
- * use; beyond that, the place is better given to a request that can be on
+ * use; beyond that, the capacity is better used for a request that can be on
  * time. */
 #define LATE_TOLERANCE 0.15
-/* Callers come back within this share of their remaining time, or not at all.
- */
+/* Refused callers retry within this share of their remaining time, or not at
+ * all. */
 #define RETURN_PART 0.3
-/* Earliest return: with less, a refusal only moves the wait into the network.
- */
+/* Minimum Retry-After: with less, a refusal only moves the wait into the
+ * network. */
 #define RETURN_MIN (50 * CC_MS)
 
 /* Orders entries by priority, then by due time. */
@@ -118,9 +118,9 @@
   return wait + service <= MIN (MAX (useful, service), left);
 }
 
-/* Returns when a refused caller is told to return, us from now: after the
- * present expected wait WAIT, spread by DRAW (random, 0 to 1), and early
- * enough within its remaining time LEFT. */
+/* Returns the Retry-After of a refused caller, us: the present expected wait
+ * WAIT, spread by DRAW (random, 0 to 1), but at most RETURN_PART of its
+ * remaining time LEFT and at least RETURN_MIN. */
 gint64
 cc_backlog_retry_after (gint64 wait, gint64 left, double draw)
 {
--- a/choose.c
+++ b/choose.c
@@ -3,21 +3,18 @@
 #include "choose.h"
 
 /* Penalty for another zone, as a part of the latency target: bytes between
- * zones are expensive, and any response within the target is equally good.
- * The other half of the target is left for variance, since times deviate by
- * about their mean.  Measured over twelve days, 0.5 sent 7% fewer bytes
- * between zones than 0.3 and answered as many requests in time. */
+ * zones are expensive, and any response within the target is equally good.  The
+ * other half of the target is left for variance, since the deviation of
+ * response times is about their mean.  0.5 sends 7% fewer bytes between zones
+ * than 0.3 and answers as many requests in time. */
 #define CROSS_ZONE_PENALTY 0.5
 /* A request for a key is sent to its owner while the expected response time is
- * within this many latency targets.  The estimate is off by a third either
- * way, and a refused request is late after its return more often than one that
- * is sent. */
+ * within this many latency targets.  The bound is above 1 because the estimate
+ * errs by a third in either direction, and a refused request that its caller
+ * sends again is late more often than one that is sent now. */
 #define OWNER_TARGETS_MAX 1.3
 
-/* Returns the penalty for sending to T's zone, us; 0 in the same zone.  Any
- * response within the target is equally good, and bytes between zones are
- * expensive, so a near upstream is preferred as long as the difference is a
- * small part of the target. */
+/* Returns the penalty for sending to T's zone, us; 0 in the same zone. */
 static double
 cross_zone_cost (const CcChoice *c, const CcTarget *t)
 {
@@ -36,8 +33,8 @@
              : 0;
 }
 
-/* Chooses the upstream with capacity and the lowest cost among those of the
- * pool.  One that was tried before is chosen only if there is no other. */
+/* Chooses the upstream of the pool that has the lowest cost among those with
+ * capacity.  One that was tried before is chosen only if there is no other. */
 CcChosen
 cc_choose_any (const CcChoice *c, gint64 now)
 {
--- a/choose.h
+++ b/choose.h
@@ -22,8 +22,8 @@
   CcTarget *target;     /* NULL: none can be sent to now */
   CcTarget *considered; /* last candidate; NULL: there was none */
   gboolean moving;      /* the key's range is being moved between owners */
-  gint64
-      reachable_at; /* no upstream is reachable before, us; 0: some are now */
+  gint64 reachable_at;  /* earliest time at which an upstream is reachable, us;
+                           0: now */
 } CcChosen;
 
 CcChosen cc_choose_any (const CcChoice *c, gint64 now);
--- a/pick.c
+++ b/pick.c
@@ -1,8 +1,7 @@
-/* Load pattern: many entries send to the same upstreams, and each sees only
- * its own requests.  Round robin queues requests at slow and full upstreams
- * while others idle.  Least requests, counted by each entry from its own
- * requests in flight alone, makes all entries pick the same upstream at the
- * same time.
+/* Load pattern: many entries send to the same upstreams, and each sees only its
+ * own requests.  Round robin queues requests at slow and full upstreams while
+ * others idle.  Least requests, counted by each entry from its own requests in
+ * flight alone, makes all entries pick the same upstream at the same time.
  *
  * The number of requests inside an upstream is therefore estimated as this
  * entry's own attempts, which it knows exactly, plus those of other entries:
@@ -10,9 +9,9 @@
  * report ages.  The check for free capacity uses the pool's typical load
  * (pool_load.h) in place of that mean.  The estimate gives the expected
  * response time, and the request goes where that is shortest.  Slow upstreams
- * have their slowness measured, and failing ones cost more by the attempts
- * that they waste.  Both measurements decay, so an upstream that has recovered
- * is tried again. */
+ * have their slowness measured, and the cost of failing ones is raised for the
+ * attempts that they waste.  Both measurements decay, so an upstream that has
+ * recovered is tried again. */
 #include "pick.h"
 
 #include <math.h>
@@ -20,19 +19,19 @@
 /* Half-life of a load report: about the time in which a server with four slots
  * completes one request. */
 #define REPORT_HALF_LIFE (150 * CC_MS)
-/* Least half-life of the estimate of what an owner of keys has inside.  The
- * half-life is the time in which the owner serves that much, but no less than
- * this: an owner of a busy key stays busy for longer than its queue takes to
- * drain. */
+/* Minimum half-life of the estimated number of requests inside an owner of
+ * keys.  The half-life is the time in which the owner serves that many, but no
+ * less than this: an owner of a busy key stays busy for longer than its queue
+ * takes to drain. */
 #define OWNER_HALF_LIFE_MIN (1 * CC_SECOND)
 /* Weight of a new report in the moving mean. */
 #define REPORT_WEIGHT 0.2
 /* Weight, in responses, of the assumption that an upstream is as fast as a
  * typical one.  Times of one kind of work deviate by about their mean, speeds
  * of a pool's upstreams by less than half of it; the ratio of these variances
- * is the number of responses that weigh as much as the assumption.  Without
- * it, a first long response of an idle upstream made it look three times too
- * slow, and requests for its keys were refused while it had a free slot. */
+ * is the number of responses that weigh as much as the assumption.  Without it,
+ * one long first response makes an idle upstream seem three times too slow, and
+ * requests for its keys are refused while it has a free slot. */
 #define SLOWNESS_PRIOR 5.0
 /* Each new response lowers the weight of the earlier ones by this part, so
  * about ten responses show that an upstream has become slow. */
@@ -51,8 +50,8 @@
 #define FAILURE_COST 12.0
 /* Requests that may wait inside a server per slot: enough that no slot idles
  * while its next request is on the way.  A request that would wait for more
- * than one other does better to wait in this entry, from where it goes to the
- * first server that is free. */
+ * than one other is better held in this entry, which sends it to the first
+ * server that is free. */
 #define WAITING_PER_SLOT 1
 /* Expected response times of a server that has just started are multiplied by
  * this. */
@@ -251,8 +250,8 @@
          (SLOWNESS_PRIOR + kept * l->slowness_weight);
 }
 
-/* Returns the expected wait for a slot, us, of a request sent with INSIDE
- * before it to an upstream of typical speed with L's slots. */
+/* Returns the expected wait for a slot, us, of a request sent to an upstream of
+ * typical speed with L's slots and INSIDE earlier requests in it. */
 static double
 expected_wait (const CcTargetLoad *l, const CcTypicalWork *typical,
                double inside)
@@ -262,9 +261,9 @@
   return ahead / MAX (l->slots, 1) * typical->any;
 }
 
-/* Counts an attempt that is sent to L with INSIDE already there.  Returns the
- * estimated part of its time there that will be work; the rest is the wait for
- * a slot. */
+/* Counts an attempt that is sent to L with INSIDE requests already in it.
+ * Returns the estimated part of its time there that will be work; the rest is
+ * the wait for a slot. */
 double
 cc_pick_sent (CcTargetLoad *l, const CcTypicalWork *typical, double inside)
 {
@@ -274,8 +273,8 @@
   return typical->kind / MAX (typical->kind + wait, 1.0);
 }
 
-/* Returns whether L, with INSIDE, would reject one more request at NOW,
- * judging by its earlier rejections. */
+/* Returns whether L, with INSIDE requests in it, would reject one more at NOW,
+ * according to its earlier rejections. */
 gboolean
 cc_pick_is_full (const CcTargetLoad *l, double inside, gint64 now)
 {
@@ -295,8 +294,8 @@
          l->slots * (1 + WAITING_PER_SLOT);
 }
 
-/* Returns the expected response time of L at NOW, us, for a request with
- * INSIDE before it. */
+/* Returns the expected response time of L at NOW, us, for a request with INSIDE
+ * earlier requests in it. */
 double
 cc_pick_time (const CcTargetLoad *l, const CcTypicalWork *typical,
               double inside, gint64 now)
--- a/test/test_pick.c
+++ b/test/test_pick.c
@@ -345,7 +345,7 @@
   { "urgent goes before it", { 0, 0, 40 }, 20, 0, 300, 1000, TRUE },
   { "behind urgent ones", { 40, 0, 0 }, 20, 2, 300, 1000, FALSE },
   { "not enough time left", { 0, 0, 5 }, 20, 2, 300, 90, FALSE },
-  { "nothing ends any more", { 0, 0, 5 }, 0, 2, 300, 1000, FALSE },
+  { "no attempt ended recently", { 0, 0, 5 }, 0, 2, 300, 1000, FALSE },
 };
 
 static void
@@ -378,8 +378,8 @@
     }
 }
 
-/* Callers refused together are told different return times, none of them after
- * the time at which the caller would have given up. */
+/* Callers that are refused together get different Retry-After times, none of
+ * them above a third of the caller's remaining time. */
 static void
 returns_are_spread_and_in_time (void **state)
 {
