--- a/admission.c
+++ b/admission.c
@@ -95,8 +95,8 @@
   return CC_ADMIT;
 }
 
-/* Returns when A, refused with VERDICT, is told to return, ms from NOW, and
- * adds it to C. */
+/* Returns the Retry-After of A, which was refused with VERDICT at NOW, in ms.
+ * A request that was refused as late is added to C. */
 guint32
 cc_admission_retry_after (CcRetryPacer *c, const CcAdmissionRequest *a,
                           CcAdmission verdict, gint64 now)
--- a/hedge.c
+++ b/hedge.c
@@ -5,14 +5,14 @@
  * four slots; four such reads stop the server.
  *
  * A key has one owner, so a second attempt goes to the same server.  It helps
- * only against a silent connection, not against a slow or stalled server,
- * where it would add work.  Responses to later attempts tell the two apart: a
- * silent connection is overtaken by them, whereas a slow server is slow for
- * all.  An attempt is therefore abandoned when it is far older than its kind
- * of work takes and at least LATER_ANSWERS_MIN later attempts have been
- * answered.  The connection is closed, and the next attempt, paid for by the
- * retry budget, opens a new one.  Running both attempts at once, as in "The
- * tail at scale" (2013), would need a fifth slot for the same gain. */
+ * only against a silent connection, not against a slow or stalled server, where
+ * it would add work.  Responses to later attempts distinguish the two: a silent
+ * connection is overtaken by them, whereas a slow server is slow for all.  An
+ * attempt is therefore abandoned when it is far older than its kind of work
+ * takes and at least LATER_ANSWERS_MIN later attempts have been answered.  The
+ * connection is closed, and the next attempt, paid for by the retry budget,
+ * opens a new one.  Running both attempts at once, as in "The tail at scale"
+ * (2013), would need a fifth slot for the same gain. */
 #include "hedge.h"
 
 /* All four slots have completed a request meanwhile, so the server is alive.
--- a/load.c
+++ b/load.c
@@ -277,8 +277,8 @@
 
 /* Retry-After for requests that are not refused by cc_load_offer, ms: the time
  * to serve everything in the server and its queue.  For a stalled server it is
- * the time since its last progress, which doubles the outage like an
- * exponential backoff. */
+ * the time since its last progress, so that successive retries of a caller are
+ * spaced like an exponential backoff. */
 guint32
 cc_load_wait_ms (const CcLoad *l, gint64 now)
 {
--- a/test/test_admission.c
+++ b/test/test_admission.c
@@ -41,9 +41,9 @@
       fail_msg ("%s", cases[i].name);
 }
 
-/* A thousand requests refused at once and told the same time would return at
- * once.  Their times are spread at the rate at which the server drains, 1 ms
- * each here, and the spread starts anew once it is idle. */
+/* A thousand requests that are refused together with the same Retry-After would
+ * return together.  Their times are spread at the rate at which the server
+ * drains, 1 ms each here, and the spread starts anew once it is idle. */
 static void
 test_returns_are_paced (void **state)
 {
@@ -149,8 +149,8 @@
     }
 }
 
-/* A server stalls: once its work is long overdue, every request is refused and
- * told to wait as long as the stall has lasted. */
+/* A server stalls: once its work is long overdue, every request is refused,
+ * with a Retry-After as long as the stall has lasted. */
 static void
 test_stalled_server_refuses (void **state)
 {
@@ -171,9 +171,10 @@
   cc_load_clear (&l);
 }
 
-/* A cold server's first request takes 150 ms of a target of 300.  Waiting
- * requests were refused as "stalled" up to 100 ms after they came: nothing was
- * measured yet, so no time was expected for any work. */
+/* A cold server's first request takes 150 ms of a target of 300.  Guards
+ * against waiting requests that are refused as "stalled" up to 100 ms after
+ * their arrival, because nothing is measured yet and work is expected to take
+ * no time. */
 static void
 test_cold_server_is_not_stalled (void **state)
 {
@@ -193,9 +194,9 @@
   cc_load_clear (&l);
 }
 
-/* A server, or this process, stalls for seconds and recovers.  Every later
- * request was refused: by the estimate none could meet its deadline, none was
- * sent, and so the estimate never changed. */
+/* A server, or this process, stalls for seconds and recovers.  Guards against
+ * an estimate by which no later request can meet its deadline: all would be
+ * refused, none would be sent, and so the estimate would never change. */
 static void
 test_recovers_from_a_stall (void **state)
 {
--- a/test/test_hedge.c
+++ b/test/test_hedge.c
@@ -22,7 +22,7 @@
   { "slow server: slow for all", { FALSE, 40000, 3, { 4000, 1000 } }, FALSE },
   { "stalled server", { FALSE, 900000, 0, { 4000, 1000 } }, FALSE },
   { "once-only", { TRUE, 900000, 900, { 4000, 1000 } }, FALSE },
-  { "long by nature", { FALSE, 90000, 90, { 80000, 20000 } }, FALSE },
+  { "long kind of work", { FALSE, 90000, 90, { 80000, 20000 } }, FALSE },
   { "a lost packet", { FALSE, 15000, 99, { 1000, 100 } }, FALSE },
 };
 
--- a/test/test_overload.c
+++ b/test/test_overload.c
@@ -85,8 +85,8 @@
 /* The pool grows with the fleet.  Its upstreams differ in speed, have a bounded
  * queue of unknown length, and reset requests beyond it.  A new connection
  * waits for a slot like a request, and its request is queued only then.  A
- * refused caller returns once, at the time it was told; one whose request
- * failed returns at once if its work may be repeated. */
+ * refused caller returns once, after its Retry-After; one whose request failed
+ * returns at once if its work may be repeated. */
 typedef struct
 {
   const Case *c;
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -26,10 +26,10 @@
 #define DEADLINE (2500 * CC_MS) /* of the caller */
 #define SPAN_MAX 30             /* s */
 
-/* One load, as a part of the capacity of an owner of speed 1 with two slots,
- * in each of up to three periods.  The owner resets requests that exceed its
- * slots and queue, and stops work at the deadline.  A refused caller returns
- * once, at the time it was told. */
+/* One load, as a part of the capacity of an owner of speed 1 with two slots, in
+ * each of up to three periods.  The owner resets requests that exceed its slots
+ * and queue, and stops work at the deadline.  A refused caller returns once,
+ * after its Retry-After. */
 typedef struct
 {
   const char *name;
