--- a/granter.c
+++ b/granter.c
@@ -64,9 +64,9 @@
 #define REBALANCE_PERIOD (400 * CC_MS)
 #define REBALANCE_DELAY (3 * CC_SECOND)
 /* If more than half of the owners do not respond, this process is probably cut
- * off: it gives the lease up, so that another can take it, and claims none for
- * CLAIM_PAUSE.  With fewer owners than CUT_OFF_MIN_OWNERS, half of them may
- * well be down. */
+ * off: it stops renewing the lease, so that another can take it, and does not
+ * claim it for CLAIM_PAUSE.  With fewer owners than CUT_OFF_MIN_OWNERS, half of
+ * them may actually be down. */
 #define CUT_OFF_MIN_OWNERS 4
 #define CLAIM_PAUSE (8 * CC_SECOND)
 
@@ -81,7 +81,7 @@
   gboolean table_busy; /* a request to the table service is in progress */
   gboolean result_unknown; /* the result of a write is unknown; the row is read
                               before the next one */
-  gboolean resigning;      /* the lease is being given up for good */
+  gboolean resigning;      /* the lease is being released permanently */
   gboolean resigned;
   gint64 started;          /* when the granter was created, us */
   gboolean may_claim;      /* the row as last read allows a claim */
@@ -275,8 +275,8 @@
     }
 }
 
-/* Advances all grants.  Returns whether so many owners have not responded for a
- * while that this process is probably cut off from them. */
+/* Advances all grants.  Returns whether this process is probably cut off from
+ * the owners, since more than half of them have not responded for a while. */
 static gboolean
 step_grants (CcGranter *g, gint64 now)
 {
@@ -310,8 +310,8 @@
   g->loaded = FALSE;
 }
 
-/* For how much longer at NOW earlier holders of the lease may renew grants, ms,
- * rounded up. */
+/* Returns the time from NOW during which earlier holders of the lease may still
+ * renew grants, ms, rounded up. */
 static gint64
 predecessors_left_ms (const CcGranter *g, gint64 now)
 {
@@ -365,7 +365,7 @@
   return v;
 }
 
-/* Rows of the last write, which was committed as VERSION. */
+/* Returns the rows of the last write, which was committed as VERSION. */
 static GVariant *
 written_rows (const CcGranter *g, guint64 version)
 {
@@ -405,8 +405,8 @@
   g->next_poll = 0;
 }
 
-/* Whether HOLDER no longer acts: it resigned, or it is an earlier run at the
- * address of this process.  Such a run has terminated, since otherwise this
+/* Whether HOLDER has stopped acting: it resigned, or it is an earlier run at
+ * the address of this process.  Such a run has terminated, since otherwise this
  * process could not listen there.  After a restart of the whole fleet this
  * saves the wait for the lease to expire, in which keys lapse. */
 static gboolean
@@ -546,7 +546,7 @@
   g->rebalance_at = now + REBALANCE_DELAY;
 }
 
-/* Lists up to MOST grants whose rows have to be written in DIRTY. */
+/* Lists in DIRTY up to MOST grants whose rows have to be written. */
 static void
 collect_dirty (const CcGranter *g, guint most, GPtrArray *dirty)
 {
@@ -822,14 +822,14 @@
   return g->shared.lease.held;
 }
 
-/* Gives the lease up for good, before the process exits. */
+/* Releases the lease permanently, before the process exits. */
 void
 cc_granter_resign (CcGranter *g)
 {
   g->resigning = TRUE;
 }
 
-/* Whether the lease has been given up, or is not held and no request to the
+/* Whether the lease has been released, or is not held and no request to the
  * table service is in progress. */
 gboolean
 cc_granter_has_resigned (const CcGranter *g)
--- a/granter_lease.c
+++ b/granter_lease.c
@@ -1,5 +1,5 @@
 /* Validity of the lease.  The holder counts from the time at which it sent a
- * renewal; other processes count from the time at which they first saw a
+ * renewal; other processes count from the time at which they first received a
  * version, which was written earlier.  So only durations are compared, and the
  * clocks of different machines need not agree. */
 #include "granter_lease.h"
@@ -37,7 +37,7 @@
   l->confirmed_at = sent;
 }
 
-/* Records that the lease was taken over by another process or given up. */
+/* Records that the lease was taken over by another process or released. */
 void
 cc_granter_lease_lost (CcGranterLease *l)
 {
@@ -65,8 +65,8 @@
  * The row's own value for its predecessors counts as well, since a vacant lease
  * proves only that its last holder has stopped.  If a holder is cut off but
  * renews grants while its successor resigns or restarts, the next holder would
- * otherwise take both for stopped, and two upstreams would hold the same
- * keys. */
+ * otherwise assume that both have stopped, and two upstreams would hold the
+ * same keys. */
 gint64
 cc_granter_lease_predecessors_until (const CcGranterLease *l)
 {
--- a/granter_lease.h
+++ b/granter_lease.h
@@ -10,7 +10,7 @@
  * requirement is that a key is without an owner for at most 4 s. */
 #define CC_GRANT_HOLD (4 * CC_SECOND)
 /* Safety margins of the expiry: the clock of an upstream may be slow by 2%, and
- * a grant leaves a moment after the granter has read its clock. */
+ * a grant is sent a moment after the granter has read its clock. */
 #define CC_GRANT_MARGIN_PART 0.02
 #define CC_GRANT_SLACK (150 * CC_MS)
 /* Period of the renewals of a grant: three of them in CC_GRANT_HOLD. */
--- a/test/test_granter.c
+++ b/test/test_granter.c
@@ -14,7 +14,7 @@
 #define SEEDS 2000
 
 static void
-a_key_has_one_owner_in_a_calm_world (void **state)
+a_key_has_one_owner_without_faults (void **state)
 {
   (void) state;
   world_begin (1, 0.0);
@@ -26,9 +26,9 @@
 }
 
 /* Guards against keys that stay without an owner until the next poll of a
- * process that seldom polls and has just taken the lease. */
+ * process that polls infrequently and has just taken the lease. */
 static void
-whoever_takes_the_lease_grants_at_once (void **state)
+a_new_lease_holder_grants_at_once (void **state)
 {
   (void) state;
   world_begin (1, 0.0);
@@ -196,7 +196,7 @@
 }
 
 static void
-a_key_has_one_owner_whatever_goes_wrong (void **state)
+a_key_has_one_owner_despite_faults (void **state)
 {
   (void) state;
   world_run (0.1, 0, SEEDS / 2);
@@ -212,13 +212,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (a_key_has_one_owner_in_a_calm_world),
-    cmocka_unit_test (whoever_takes_the_lease_grants_at_once),
+    cmocka_unit_test (a_key_has_one_owner_without_faults),
+    cmocka_unit_test (a_new_lease_holder_grants_at_once),
     cmocka_unit_test (a_granter_that_is_started_again_grants_at_once),
     cmocka_unit_test (keys_of_a_replaced_server_are_reassigned),
     cmocka_unit_test (connections_that_end_cost_their_own_keys_only),
     cmocka_unit_test (a_granter_that_is_lost_as_it_renews_is_replaced_soon),
-    cmocka_unit_test (a_key_has_one_owner_whatever_goes_wrong),
+    cmocka_unit_test (a_key_has_one_owner_despite_faults),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/test_two_holders.c
+++ b/test/test_two_holders.c
@@ -1,5 +1,5 @@
 /* Guards against two upstreams that hold the same keys.  Each test simulates
- * one sequence of faults by which that came about, without any other fault. */
+ * one sequence of faults that can lead to it, without any other fault. */
 #include <stdarg.h>
 #include <stddef.h>
 #include <setjmp.h>
@@ -223,8 +223,8 @@
   restart_server_after_fence (3, 0, FALSE);
 }
 
-/* The same in a pool so large that a granter gives up when most owners are
- * silent. */
+/* The same in a pool so large that a granter drops the lease when most owners
+ * do not respond. */
 static void
 a_restarted_server_of_many_takes_no_renewal_by_an_earlier_granter (void **state)
 {
