--- a/key_load.c
+++ b/key_load.c
@@ -1,11 +1,10 @@
 /* Request rates that follow a sudden hot region of keys quickly without taking
  * random variation for load.
  *
- * The load on which the design rests: from one second to the next a small
- * region of keys gets half of all requests, for five seconds.  A mean over two
- * seconds shows only a third of that rate after 0.8 s.  Ranges split by such a
- * rate would have three times the expected load, and could not be moved again
- * at once.
+ * Load pattern: from one second to the next a small region of keys gets half of
+ * all requests, for five seconds.  A mean over two seconds shows only a third
+ * of that rate after 0.8 s.  Ranges split by such a rate would have three times
+ * the expected load, and could not be moved again at once.
  *
  * So two decaying counts are kept for each bucket, a slow and a fast one.  The
  * rate of a bucket is the higher of the slow rate and the lower confidence
--- a/key_plan.c
+++ b/key_plan.c
@@ -1,9 +1,9 @@
 /* Planning of key ownership for one pool.
  *
- * The load on which the design rests: from one second to the next some of the
- * keys become hot, and hot keys are adjacent.  If ranges have equal numbers of
- * keys, one upstream then receives several times the requests that it can serve
- * while others are idle, and all requests for its keys wait.
+ * Load pattern: from one second to the next some of the keys become hot, and
+ * hot keys are adjacent.  If ranges have equal numbers of keys, one upstream
+ * then receives several times the requests that it can serve while others are
+ * idle, and all requests for its keys wait.
  *
  * Keys are moved away from upstreams that may no longer own any, and from those
  * with much more load than their capacity allows, to those with the least load
@@ -20,17 +20,18 @@
 /* Ranges of a leaving upstream are split into pieces of at most this part of a
  * fair share, so that its load is spread over several others. */
 #define PIECE_SHARE 0.5
-/* A new owner first gets this part of a fair share, from as many ranges as
- * NEW_OWNER_DONORS: its caches are cold, and each move may delay requests for
- * the moved keys. */
+/* A new owner first gets this part of a fair share, taken from up to
+ * NEW_OWNER_DONORS ranges: its caches are cold, and each move may delay
+ * requests for the moved keys. */
 #define NEW_OWNER_SHARE 0.6
 #define NEW_OWNER_DONORS 2
-/* All keys together count as at least this part of the measured load, so that
- * keys without recent requests are not all given to one upstream. */
+/* Base load that is added for all keys together, as a part of the measured
+ * load, so that keys without recent requests are not all given to one upstream.
+ */
 #define BASE_LOAD_SHARE 0.25
 #define BASE_LOAD_MIN 1.0 /* requests a second, without any measured load */
 /* An upstream is relieved if its load exceeds this part of its capacity.  Below
- * it requests seldom queue, and random variation does no harm. */
+ * it requests seldom queue, even with random variation. */
 #define RELIEF_UTILISATION 0.75
 /* The load must also exceed the mean by this factor, since counts of two
  * seconds vary by a fifth. */
@@ -214,9 +215,9 @@
     }
 }
 
-/* If the owner of R has restarted under its id, leaves R to it with a new
- * fence: it holds no earlier grants, and no other upstream has to release the
- * keys.  Returns FALSE if the owner is not available. */
+/* If the owner of R has restarted under its id, it keeps R with a new fence: it
+ * holds no earlier grants, and no other upstream has to release the keys.
+ * Returns FALSE if the owner is not available. */
 static gboolean
 keep_restarted_owner (PlanState *s, CcKeyRange *r)
 {
@@ -380,7 +381,7 @@
  *
  * If one key receives more requests than its owner can serve, no move helps.
  * Such an owner is marked as exhausted after its other keys were moved, so that
- * the plan goes on to the other overloaded owners. */
+ * the plan continues with the other overloaded owners. */
 static gboolean
 relieve_owner (PlanState *s)
 {
@@ -421,9 +422,9 @@
 /* Replaces the capacity of each owner by a weight for its share of the load;
  * the sum stays the same.
  *
- * It matters if the load is low and upstreams differ in speed.  With shares in
- * proportion to capacity, the slow ones receive requests that take half as long
- * again there while the fast ones are idle.  The mean response time is lowest
+ * This matters if the load is low and upstreams differ in speed.  With shares
+ * in proportion to capacity, the slow ones receive requests that take 1.5 times
+ * as long there while the fast ones are idle.  The mean response time is lowest
  * if the headroom of each is in proportion to the square root of its capacity:
  * with low load the fast ones serve nearly everything, with high load all have
  * the same utilisation. */
@@ -483,8 +484,8 @@
     }
 }
 
-/* Makes a plan for one pool: changes P's ranges and lists the changed ones in
- * P->changed.  Does nothing without owners. */
+/* Plans one pool: changes P's ranges and lists the changed ones in P->changed.
+ * Does nothing without owners. */
 void
 cc_key_plan (CcKeyPlan *p)
 {
--- a/test/test_key_plan.c
+++ b/test/test_key_plan.c
@@ -154,7 +154,7 @@
 }
 
 static void
-every_key_has_one_owner_whatever_comes (void **state)
+every_key_has_one_owner_after_each_plan (void **state)
 {
   (void) state;
   for (guint seed = 0; seed < SEEDS; seed++)
@@ -311,7 +311,7 @@
 /* Guards against moves caused by random variation: counts of 18 requests at
  * each upstream differ by a quarter. */
 static void
-an_even_load_moves_next_to_nothing (void **state)
+an_even_load_causes_few_moves (void **state)
 {
   guint changed = 0;
 
@@ -436,10 +436,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (slow_owners_serve_little_while_fast_ones_idle),
-    cmocka_unit_test (every_key_has_one_owner_whatever_comes),
+    cmocka_unit_test (every_key_has_one_owner_after_each_plan),
     cmocka_unit_test (a_busy_region_is_spread_in_one_plan),
     cmocka_unit_test (a_key_busier_than_its_owner_harms_no_other),
-    cmocka_unit_test (an_even_load_moves_next_to_nothing),
+    cmocka_unit_test (an_even_load_causes_few_moves),
     cmocka_unit_test (a_restarted_upstream_gets_its_keys_back),
     cmocka_unit_test (keys_without_a_row_go_to_the_owner_before_them),
   };
