--- a/http_link.c
+++ b/http_link.c
@@ -166,8 +166,8 @@
  *
  * Failure: this process is slow and handles a connection before an expired
  * timer.  Symptom: a request is sent after its timeout and takes effect when
- * others rely on its end: keys are granted that another server holds by then.
- */
+ * other processes rely on it having ended: keys are granted that another server
+ * holds by then. */
 static gboolean
 must_not_send (const CcHttpCall *call)
 {
@@ -444,7 +444,7 @@
 }
 
 static void
-on_socket (GIOCondition seen, gpointer data)
+on_socket (GIOCondition condition, gpointer data)
 {
   CcHttpConnection *c = data;
 
@@ -453,11 +453,11 @@
       on_connected (c);
       return;
     }
-  if (seen & G_IO_OUT)
+  if (condition & G_IO_OUT)
     {
       if (c->call != NULL && !write_pending (c))
         return;
-      if (!(seen & (G_IO_IN | G_IO_HUP | G_IO_ERR)))
+      if (!(condition & (G_IO_IN | G_IO_HUP | G_IO_ERR)))
         return;
     }
   read_available (c);
@@ -565,8 +565,8 @@
   return call;
 }
 
-/* Cancels C without calling its DONE.  The connection is closed, on which most
- * servers abort the work. */
+/* Cancels C without calling its DONE.  The connection is closed, which makes
+ * most servers abort the work. */
 void
 cc_http_cancel (CcHttpCall *c)
 {
--- a/http_pool.c
+++ b/http_pool.c
@@ -16,7 +16,7 @@
 #define KEEPALIVE_IDLE_S 1   /* idle time before the first probe */
 #define KEEPALIVE_PERIOD_S 1 /* time between probes */
 #define KEEPALIVE_PROBES 2   /* unanswered probes that end a connection */
-#define USER_TIMEOUT_MS 2500 /* sent data unacknowledged for so long */
+#define USER_TIMEOUT_MS 2500 /* limit for unacknowledged data */
 
 static void
 peer_free (gpointer data)
--- a/http_state.h
+++ b/http_state.h
@@ -43,9 +43,9 @@
   gboolean skipping;         /* the answer being parsed is to another request */
 } CcHttpConnection;
 
-/* DATA, a CcHttpConnection, is readable or writable, or has failed, as SEEN
- * says. */
-typedef void (*CcHttpReady) (GIOCondition seen, gpointer data);
+/* DATA, a CcHttpConnection, is readable or writable, or has failed, according
+ * to CONDITION. */
+typedef void (*CcHttpReady) (GIOCondition condition, gpointer data);
 
 CcHttpPeer *cc_http_find_peer (CcHttp *h, const char *address);
 CcHttpConnection *cc_http_connection_take_idle (CcHttpPeer *p, gint64 idle_max);
--- a/load_reporter.c
+++ b/load_reporter.c
@@ -114,7 +114,7 @@
 }
 
 static gboolean
-on_datagram (GSocket *socket, GIOCondition seen, gpointer data)
+on_datagram (GSocket *socket, GIOCondition condition, gpointer data)
 {
   CcLoadReporter *l = data;
   g_autofree char *bytes = g_malloc (REPORT_MAX);
@@ -122,7 +122,7 @@
   g_autoptr (GBytes) whole = NULL;
   g_autoptr (GVariant) report = NULL;
 
-  (void) seen;
+  (void) condition;
   if (size <= 0)
     return G_SOURCE_CONTINUE;
   whole = g_bytes_new (bytes, (gsize) size);
