--- a/body_limit.c
+++ b/body_limit.c
@@ -1,10 +1,10 @@
 /* Failure: libsoup buffers a body of any size before it calls the handler, and
  * sends a status set by an early handler only after the whole body arrived.
  * Symptom: one caller that sends chunks endlessly exhausts the process's memory
- * (64 MB were accepted in a test).  So nothing beyond the limit is buffered,
- * the refusal is written to the connection directly, bypassing libsoup, and the
- * connection is closed: what follows on it is the rest of the body, not a
- * request. */
+ * (64 MB are accepted without a limit).  So nothing beyond the limit is
+ * buffered, the refusal is written to the connection directly, bypassing
+ * libsoup, and the connection is closed: what follows on it is the rest of the
+ * body, not a request. */
 #include "body_limit.h"
 
 #include <string.h>
@@ -64,7 +64,7 @@
 
 /* Refuses M from an idle source, since libsoup is still reading when it emits
  * the signal.  M is paused until then: libsoup reads as long as data arrives,
- * so that a fast sender would block the main loop (for 53 MB in one test). */
+ * so that a fast sender would block the main loop (for 53 MB, for example). */
 static void
 refuse_soon (SoupServerMessage *m)
 {
--- a/connection_health.c
+++ b/connection_health.c
@@ -1,19 +1,19 @@
 /* Failure: a device on the path to a server loses its connection state.  What
  * is sent on existing connections is discarded silently, while new connections
- * work.  Without this module, idempotent requests, which are sent on
- * persistent connections, wait until their deadline, and each connection that
- * times out delays another request.  Work that must not run twice is not
- * affected: each attempt opens a connection.
+ * work.  Without this module, idempotent requests, which are sent on persistent
+ * connections, wait until their deadline, and each connection that times out
+ * delays another request.  Work that must not run twice is not affected: each
+ * attempt opens a connection.
  *
  * A connection is suspect if the attempt is long overdue for its kind of work
  * and a call on a new connection, sent after it, was answered.  A server that
  * is stalled or gone answers no probe.  A server that has just become slow
- * cannot be told from silent connections; its requests then get a second
- * attempt, which the retry budget bounds at a tenth.
+ * cannot be distinguished from silent connections; its requests then get a
+ * second attempt, which the retry budget bounds at a tenth.
  *
  * Responses to other requests on persistent connections prove nothing, since
- * those connections may have been opened later.  When they were taken as
- * proof, no pool was dropped and requests timed out one by one. */
+ * those connections may have been opened later.  If they were taken as proof,
+ * no pool would be dropped and requests would time out one by one. */
 #include "connection_health.h"
 
 #define EXPECTED_FACTOR 8 /* covers a queue of twice the server's slots */
--- a/cut_off.c
+++ b/cut_off.c
@@ -7,7 +7,7 @@
  *  - the platform no longer lists its instance; or
  *  - its instance has registered again.  The same process does so only after it
  *    released all that it held under the old id; another process could not have
- *    taken the instance's address while the old one lived.
+ *    taken the instance's address while the old one was running.
  *
  * Without this rule, two dispatchers would send to the server of a key, each
  * zone treating itself as the owner. */
--- a/forward.c
+++ b/forward.c
@@ -17,7 +17,7 @@
  * close can be neither repeated nor refused, so its limit is lower. */
 #define IDLE_MAX_IDEMPOTENT (8 * CC_SECOND)
 #define IDLE_MAX_ONCE_ONLY (4 * CC_SECOND)
-/* A server answers at the latest at the deadline it was given.  That answer
+/* A server answers no later than the deadline that it was given.  That answer
  * reports the outcome of the work, so it is awaited this much longer. */
 #define ANSWER_GRACE (60 * CC_MS)
 /* Longest wait of a request whose key is being moved to another owner, as a
--- a/gateway.c
+++ b/gateway.c
@@ -345,10 +345,10 @@
 static void
 update_lease_version (Gateway *g)
 {
-  gint64 seen_at;
-  guint64 version = cc_mirror_lease (g->mirror, &seen_at);
+  gint64 received_at;
+  guint64 version = cc_mirror_lease (g->mirror, &received_at);
 
-  cc_granter_lease_received (g->granter, version, seen_at);
+  cc_granter_lease_received (g->granter, version, received_at);
 }
 
 /* Rows of the table NAME have changed: passes them to the modules that use
--- a/link_health.c
+++ b/link_health.c
@@ -1,14 +1,14 @@
 /* Failure: a device between two processes loses the state of a connection.
- * Both ends see the connection open, what is written is discarded, and no
- * error is ever reported.  Without this module, callers wait until their
- * deadlines, and so do all later ones for as long as the processes live.
+ * Both ends see the connection open, what is written is discarded, and no error
+ * is ever reported.  Without this module, callers wait until their deadlines,
+ * and so do all later ones for as long as the processes run.
  *
  * Links are therefore pinged, and a ping is answered over the peer's own
  * connection to this process: a response proves both directions and that the
  * peer's main loop is running.  The peer does the same, so each end closes the
  * connection that it opened.  A connection is used for requests only after a
- * ping on it was answered.  As long as the peer is stalled or the path is
- * down, requests are refused at once instead of being lost.
+ * ping on it was answered.  As long as the peer is stalled or the path is down,
+ * requests are refused at once instead of being lost.
  *
  * A process that was itself paused finds old pings unanswered although the
  * responses are in its own receive buffers, so time without polling does not
--- a/link_health.h
+++ b/link_health.h
@@ -15,7 +15,7 @@
 #define CC_LINK_IDLE_AFTER (2 * CC_SECOND)
 /* A link with a ping unanswered for this time is silent.  This is a quarter of
  * the shortest usual class timeout (2 s), and well above the pauses of a busy
- * process (up to 200 ms seen on a loaded machine). */
+ * process (up to 200 ms on a loaded machine). */
 #define CC_LINK_SILENT_AFTER (500 * CC_MS)
 
 typedef enum
--- a/targets.c
+++ b/targets.c
@@ -199,8 +199,8 @@
   return t->missing && now - t->missing_since < CC_MISSING_GRACE;
 }
 
-/* Returns whether so much of POOL went missing recently that an outage of the
- * table service is likely. */
+/* Returns whether enough upstreams of POOL went missing recently to indicate an
+ * outage of the table service. */
 static gboolean
 looks_like_outage (const GPtrArray *pool, gint64 now)
 {
--- a/test/test_balance.c
+++ b/test/test_balance.c
@@ -176,9 +176,9 @@
     }
 }
 
-/* A pool starts under load that is measured inaccurately at first.  Its
- * servers are all new, and none may be filled like a server that joins a
- * running pool: that moved 700 units in 20 s on real processes. */
+/* A pool starts under load that is measured inaccurately at first.  Its servers
+ * are all new, and none may be filled like a server that joins a running pool,
+ * which moves 700 units in 20 s. */
 static void
 test_start_under_load (void **state)
 {
--- a/test/test_hotkeys.c
+++ b/test/test_hotkeys.c
@@ -293,7 +293,7 @@
 /* Guards against units that move twice, because the server to which they were
  * moving was lost or began to leave. */
 static void
-a_unit_on_its_way_is_sent_elsewhere (void **state)
+a_moving_unit_is_redirected (void **state)
 {
   static const struct
   {
@@ -390,7 +390,7 @@
  * the longest request deadline has passed that earlier attempts have stopped.
  */
 static void
-a_hot_key_stays_while_its_server_is_in_doubt (void **state)
+a_hot_key_stays_while_its_server_is_unconfirmed (void **state)
 {
   World *w = world_new (256, 10, CC_PREFER_AVAILABILITY, 1);
   guint64 hash = (guint64) 7 << 60 | 1;
@@ -421,10 +421,10 @@
     cmocka_unit_test (test_keys_that_change),
     cmocka_unit_test (a_leaving_server_is_emptied_in_time),
     cmocka_unit_test (a_leaving_server_is_emptied_by_slow_writes),
-    cmocka_unit_test (a_unit_on_its_way_is_sent_elsewhere),
+    cmocka_unit_test (a_moving_unit_is_redirected),
     cmocka_unit_test (a_move_is_settled_before_the_next),
     cmocka_unit_test (a_move_does_not_wait_for_later_ones),
-    cmocka_unit_test (a_hot_key_stays_while_its_server_is_in_doubt),
+    cmocka_unit_test (a_hot_key_stays_while_its_server_is_unconfirmed),
   };
 
   return cmocka_run_group_tests_name ("hotkeys", tests, NULL, NULL);
--- a/test/test_work_times.c
+++ b/test/test_work_times.c
@@ -15,7 +15,7 @@
 /* A pool receives long and short work, the long one first; after three
  * responses of each, the entry knows both times. */
 static void
-kinds_of_work_are_told_apart_after_a_few_answers (void **state)
+kinds_of_work_are_distinguished_after_a_few_answers (void **state)
 {
   CcWorkTimes t;
 
@@ -33,10 +33,10 @@
   cc_work_times_clear (&t);
 }
 
-/* A stopping process accepted a long request, since most requests are short,
- * and was killed before the response: the caller's connection was closed.  The
- * longest time of a kind is taken from its own responses, and is unknown
- * before the first. */
+/* Guards against a stopping process that accepts a long request, since most
+ * requests are short, and is killed before the response, which closes the
+ * caller's connection.  The longest time of a kind is taken from its own
+ * responses, and is unknown before the first. */
 static void
 a_stopping_process_knows_what_takes_too_long (void **state)
 {
@@ -77,7 +77,7 @@
 };
 
 static void
-an_upstream_is_like_the_others_until_answers_show_more (void **state)
+an_upstream_counts_as_typical_until_answers_show_otherwise (void **state)
 {
   (void) state;
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
@@ -106,9 +106,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (kinds_of_work_are_told_apart_after_a_few_answers),
+    cmocka_unit_test (kinds_of_work_are_distinguished_after_a_few_answers),
     cmocka_unit_test (a_stopping_process_knows_what_takes_too_long),
-    cmocka_unit_test (an_upstream_is_like_the_others_until_answers_show_more),
+    cmocka_unit_test (
+        an_upstream_counts_as_typical_until_answers_show_otherwise),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/work_rates.c
+++ b/work_rates.c
@@ -11,9 +11,9 @@
 
 #include <math.h>
 
-/* Half-life of responses: at ten per second, some hundred and fifty are in a
- * mean, whose error is then a twelfth, and an upstream that becomes slow is
- * recognised within seconds. */
+/* Half-life of responses: at ten per second, about 150 are in a mean, whose
+ * error is then a twelfth, and an upstream that becomes slow is recognised
+ * within seconds. */
 #define ANSWERS_HALF_LIFE (10 * CC_SECOND)
 /* Prior weight, in responses, of the pool's mean: the variance of work times,
  * about the square of their mean, divided by the variance of speeds, two
