--- a/key_load.c
+++ b/key_load.c
@@ -1,5 +1,5 @@
-/* Request rates that follow a sudden hot region of keys quickly without taking
- * random variation for load.
+/* Request rates that follow a sudden hot region of keys quickly without
+ * mistaking random variation for load.
  *
  * Load pattern: from one second to the next a small region of keys gets half of
  * all requests, for five seconds.  A mean over two seconds shows only a third
--- a/range_grant.c
+++ b/range_grant.c
@@ -82,11 +82,11 @@
 
 /* Updates X after its range was given to another owner at NOW, us.
  *
- * If a move is replaced before it has finished, the owner in between may have
+ * If a move is replaced before it has finished, the intermediate owner may have
  * been sent a grant that is carried out late, with a fence below that of the
- * next owner.  That the previous owner has terminated proves nothing about the
- * one in between, and no row names it, so the expiry of its grants is waited
- * for in any case.  Otherwise two upstreams could hold the same keys. */
+ * next owner.  The termination of the previous owner proves nothing about the
+ * intermediate one, and no row names it, so its grants have to expire in any
+ * case.  Otherwise two upstreams could hold the same keys. */
 void
 cc_range_grant_owner_changed (CcRangeGrant *x, gint64 now)
 {
@@ -109,8 +109,8 @@
   x->moved_at = now;
 }
 
-/* X's range was split from SOURCE's at NOW, us: whoever may hold the keys of
- * SOURCE may hold those of X.  Nothing is granted before X's own row is
+/* X's range was split from SOURCE's at NOW, us: any upstream that may hold the
+ * keys of SOURCE may hold those of X.  Nothing is granted before X's own row is
  * written.
  *
  * Otherwise the remaining part of a range could be renewed for its owner while
@@ -135,8 +135,8 @@
  * fence of a range that is not moving is raised above *FENCE.  PREDECESSOR
  * limits what the previous granter may still do.
  *
- * Without the table, the previous granter renews only what the rows contain as
- * well.  So for a range that is moving, its last grant to the previous owner
+ * A previous granter that cannot reach the table also renews only what the rows
+ * contain.  So for a range that is moving, its last grant to the previous owner
  * was sent before the move was written, and its last grant to the new owner
  * before its term was over.  Earlier granters may not know of the move. */
 void
--- a/unit_loads.h
+++ b/unit_loads.h
@@ -6,7 +6,7 @@
 
 /* Loads are used only after reports have been received for this long.  A
  * dispatcher reports a unit after CC_METER_MIN_AGE, and a newly started
- * assigner must not take units that were not reported yet for idle. */
+ * assigner must not treat units that were not reported yet as idle. */
 #define CC_UNIT_LOADS_MIN_HISTORY (6 * CC_SECOND)
 
 /* Time constant by which the load of an unreported unit decays.  It covers the
