--- a/granter.c
+++ b/granter.c
@@ -14,7 +14,7 @@
  * A range moves to another upstream only after the previous owner has answered
  * a release, or after its last grant has expired.  A grant that got no response
  * may be carried out late, even after the release, so the expiry of such a
- * grant is waited for as well.
+ * grant is awaited as well.
  *
  * A new holder of the lease first writes higher fences for the present owners.
  * An upstream that has accepted a higher fence rejects renewals by the previous
--- a/test/test_granter.c
+++ b/test/test_granter.c
@@ -201,9 +201,9 @@
   (void) state;
   world_run (0.1, 0, SEEDS / 2);
   world_run (0.3, 10000, SEEDS / 2);
-  /* Seeds that failed, out of 19000: a granter that renews after a pause that
-   * outlasted its lease, and a server that was granted keys after its restart
-   * while the granter still knew the earlier process. */
+  /* Seeds that revealed faults, out of 19000: a granter that renews after a
+   * pause that outlasted its lease, and a server that was granted keys after
+   * its restart while the granter still knew the earlier process. */
   world_run (0.3, 16549, 1);
   world_run (0.3, 16595, 1);
 }
--- a/test/test_two_holders.c
+++ b/test/test_two_holders.c
@@ -122,7 +122,7 @@
   run_to_end ();
 }
 
-/* The second granter resigns, and its successor takes the lease for vacant,
+/* The second granter resigns, and its successor treats the lease as vacant,
  * although the first granter may still renew. */
 static void
 a_granter_before_one_that_resigns_is_waited_for (void **state)
@@ -145,7 +145,7 @@
 }
 
 /* The second granter's claim times out and is executed while its next claim is
- * in progress, which is therefore rejected.  It takes its own claim for a
+ * in progress, which is therefore rejected.  It treats its own claim as a
  * vacant lease, although the first granter may still renew. */
 static void
 a_granter_before_a_late_claim_is_waited_for (void **state)
@@ -338,8 +338,8 @@
   world_clear ();
 }
 
-/* That the first owner has terminated is taken as proof that the second one
- * holds nothing either. */
+/* Guards against the termination of the first owner being taken as proof that
+ * the second one holds nothing either. */
 static void
 an_owner_replaced_during_its_move_is_waited_for (void **state)
 {
@@ -394,8 +394,8 @@
 /* ---- a configuration with another pool ---- */
 
 /* Another keyed pool is configured while a range waits for the expiry of its
- * previous owner's grant.  The granter reads its rows again and forgets to
- * wait. */
+ * previous owner's grant.  The granter reads its rows again and must not stop
+ * waiting. */
 static void
 a_pool_that_is_added_ends_no_move_early (void **state)
 {
