--- a/mirror.c
+++ b/mirror.c
@@ -30,7 +30,7 @@
  * makes as many calls as a small one. */
 #define SMALL_FLEET 12
 #define RETRY_MAX_LARGE (10 * CC_SECOND)
-#define RETRY_FIRST_PART 0.125 /* the first pause, as a part of the maximum */
+#define RETRY_FIRST_PART 0.125 /* first pause, as a fraction of the maximum */
 /* During an outage the other tables are queried when an answer for the
  * configuration shows that the service has recovered, or after this pause. */
 #define RETRY_OTHER_TABLES (3 * CC_SECOND)
@@ -147,11 +147,11 @@
  * and LATEST, us.
  *
  * Failure: the service stalls for a moment, and the call that it dropped times
- * out seconds later, while other calls are answered all the time.  Symptom: the
- * outage appears to have lasted until that timeout, so recent deletions are
- * treated as uncertain, and requests are sent to upstreams that exited without
- * notice.  The outage ended at the first answer after it at the latest,
- * whichever process received that; later answers don't move its end. */
+ * out seconds later, while other calls are answered.  Symptom: the outage
+ * appears to have lasted until that timeout, so recent deletions are treated as
+ * uncertain, and requests are sent to upstreams that exited without notice.
+ * The outage ended at the first answer after it at the latest, whichever
+ * process received that; later answers don't move its end. */
 void
 cc_mirror_service_answered (CcMirror *m, gint64 earliest, gint64 latest)
 {
@@ -308,7 +308,7 @@
  *
  * Failure: this process was restarted and read the table; a peer with an older
  * copy then sends it a row that had been deleted before the read.  Symptom:
- * requests go to an upstream that no longer exists, for good, since the
+ * requests go indefinitely to an upstream that no longer exists, since the
  * deletion is not reported a second time.  So a row with a version up to which
  * this copy is complete is ignored: it is either held already or deleted. */
 gboolean
@@ -331,10 +331,10 @@
  * deleted, unless they are newer.
  *
  * Failure: a deletion that is detected by a full read gets the version of that
- * read, and processes that follow this copy take it for no older than that.
- * Symptom: they send to an upstream for longer than it serves.  All that is
- * known is that the row was deleted after it was written, so the deletion gets
- * the version that follows the row's. */
+ * read, so processes that follow this copy assume that the row was deleted only
+ * then.  Symptom: they send to an upstream for longer than it serves.  All that
+ * is known is that the row was deleted after it was written, so the deletion
+ * gets the version that follows the row's. */
 static gboolean
 delete_missing (CcMirrorTable *t, GVariant *rows, guint64 upto)
 {
@@ -700,7 +700,8 @@
   return m->tables[name].complete;
 }
 
-/* Returns the clock that tells when versions of the service were written. */
+/* Returns the clock that relates versions of the service to the times at which
+ * they were written. */
 const CcVersionClock *
 cc_mirror_clock (const CcMirror *m)
 {
@@ -709,7 +710,7 @@
 
 /* Returns when a call to the table service last failed for this process or the
  * peer that it follows, us; 0 if never.  The service may have answered other
- * processes all the time. */
+ * processes meanwhile. */
 gint64
 cc_mirror_own_outage (const CcMirror *m)
 {
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -3,11 +3,11 @@
  *
  * Load pattern: each changed row costs each process that watches it a call, and
  * calls are expensive: a fleet of hundreds would make thousands for one move of
- * keys.  So one process watches for the whole fleet, the granter, which is in
- * touch with the service all the time anyway to renew its lease.  The other
- * processes follow its copy, or that of a relay which follows it (members.h),
- * by long polls that are answered on an update.  Answers also carry the version
- * of the lease, so that a lost granter is detected without a call.
+ * keys.  So one process watches for the whole fleet, the granter, which calls
+ * the service regularly anyway to renew its lease.  The other processes follow
+ * its copy, or that of a relay which follows it (members.h), by long polls that
+ * are answered on an update.  Answers also carry the version of the lease, so
+ * that a lost granter is detected without a call.
  *
  * Failure: the followed process is cut off from the service or exits.  Symptom:
  * this process routes by stale rows.  Each answer says how long ago its rows
@@ -28,8 +28,8 @@
 #define PEER_POLL_PERIOD (400 * CC_MS) /* between polls of peers */
 #define PEER_TIMEOUT (300 * CC_MS)     /* a reachable peer answers in 10 ms */
 /* Oldest acceptable copy of the granter, and of a relay.  Rows have an age of
- * at most FRESHNESS_WAIT at the granter, and hardly more at a relay, which
- * passes on at once what it receives with each renewal of the lease.  A relay
+ * at most FRESHNESS_WAIT at the granter, and little more at a relay, which
+ * forwards at once what it receives with each renewal of the lease.  A relay
  * finds its source stale before its followers find the relay stale, and has
  * fresh rows again before they abandon it. */
 #define MAX_AGE (1100 * CC_MS)
@@ -47,8 +47,8 @@
  * this: otherwise a peer with a stale copy would be polled in a busy loop. */
 #define FOLLOW_WAIT_MIN (200 * CC_MS)
 /* After a failure of the followed peer the service is watched directly for this
- * time, which covers a usual network partition, or until the peer answers
- * again; it is polled at LOST_RETRY_PERIOD. */
+ * time, which covers a typical network partition, or until the peer answers
+ * again; the peer is polled at LOST_RETRY_PERIOD. */
 #define DIRECT_WATCH (5 * CC_SECOND)
 #define LOST_RETRY_PERIOD (1 * CC_SECOND)
 /* For processes that follow relays: how often the service is queried for all
@@ -71,8 +71,8 @@
  *
  * Failure: a row is deleted, this process reads the whole table after that, and
  * a peer with an older copy begins to follow it.  Symptom: no row reports the
- * deletion to that peer, and it sends requests to an upstream that no longer
- * exists, for good.  So a peer whose version is older than the known history
+ * deletion to that peer, and it keeps sending requests to an upstream that no
+ * longer exists.  So a peer whose version is older than the known history
  * gets the whole table, and deletes what that lacks. */
 GBytes *
 cc_mirror_rows_since (CcMirror *m, const guint64 *since, gint64 held)
@@ -170,10 +170,10 @@
  * service was OUTAGE us ago (-1: none).
  *
  * Failure: this process alone loses its connection to the service, or learns
- * late that an outage is over.  Symptom: it takes upstreams that left meanwhile
- * for ones whose rows expired in the outage, and sends to them after they have
- * exited.  A peer that received an answer of the service after this process's
- * own outage knows when the service's last outage was. */
+ * late that an outage is over.  Symptom: it treats upstreams that left
+ * meanwhile as ones whose rows expired in the outage, and sends to them after
+ * they have exited.  A peer that received an answer of the service after this
+ * process's own outage knows when the service's last outage was. */
 static void
 record_peer_freshness (CcMirror *m, gint64 age, gint64 transit, gint64 outage,
                        gint64 now)
@@ -189,12 +189,12 @@
  * it arrived at NOW, the request was sent at SENT_AT, and the peer held it for
  * HELD us.
  *
- * Failure: the answer is delayed, because a lost segment is sent again or the
- * peer is short of processor time, and the ages in it are counted from its
+ * Failure: the answer is delayed, because a lost segment is retransmitted or
+ * the peer is short of processor time, and the ages in it are counted from its
  * arrival.  Symptom: requests go to an upstream that has exited, since its
- * notice that it leaves is taken for younger than it is; and a stale copy
- * counts as fresh.  The answer cannot have been given before SENT_AT + HELD,
- * and this bound needs no comparison of clocks of two machines. */
+ * notice that it leaves appears younger than it is; and a stale copy counts as
+ * fresh.  The answer cannot have been given before SENT_AT + HELD, and this
+ * bound needs no comparison of clocks of two machines. */
 static gint64
 max_transit_time (gint64 sent_at, gint64 held, gint64 now)
 {
@@ -207,10 +207,11 @@
  * service, us, -1 if it had none.
  *
  * The times of the lease and of outages count from the arrival, which is the
- * safe side: the later a lease is taken to have been renewed, the later it is
- * taken over, and the later an outage, the longer deletions are treated as
- * uncertain.  The caller reads NOW before the rows are applied: that may take a
- * while, and the copy would count as fresher than it is. */
+ * safe side: the later a lease appears to have been renewed, the later it is
+ * taken over, and the later an outage appears to have ended, the longer
+ * deletions are treated as uncertain.  The caller reads NOW before the rows are
+ * applied: that may take a while, and the copy would count as fresher than it
+ * is. */
 static gint64
 apply_peer_answer (CcMirror *m, const CcHttpResult *r, gint64 sent_at,
                    gint64 now, gint64 *outage)
@@ -339,8 +340,8 @@
 
 /* Handles a followed peer that did not answer (AGE is -1) or whose copy is
  * stale (AGE us old).  OUTAGE is the time since that peer's last outage of the
- * service, us, -1 if it had none.  The peer may have just started, like this
- * process.
+ * service, us, -1 if it had none.  While this process still waits for its first
+ * rows, the peer may have just started too, so the request is only repeated.
  *
  * After no answer, a process that follows the granter directly watches the
  * service for a while.  In a large fleet that would cost ten calls a second for
--- a/mirror_state.h
+++ b/mirror_state.h
@@ -18,7 +18,7 @@
   gboolean unavailable;  /* the last call to the service failed */
   gint64 outage_at;      /* latest time at which the last outage ended */
   gint64 failed_call_at; /* when the last failed call was sent */
-  gboolean recovered;    /* the service has answered anyone since */
+  gboolean recovered;    /* the service answered this process or a peer since */
   gint64 outage_from;    /* when the current outage began */
   gint64 pause;          /* retry pause after the next failure, us */
   gboolean running;      /* a call to the service is pending */
@@ -54,13 +54,14 @@
   gboolean following;     /* a request to the followed peer is pending */
   gint64 follow_sent_at;  /* when that request was sent */
   char *followed;         /* address of the peer that was followed last */
-  gboolean lost;          /* its last request failed or gave a stale copy */
+  gboolean lost;          /* last request to it failed or gave a stale copy */
   char *lost_address;     /* lost peer, in place of which the service is watched
                            directly */
   gint64 direct_until;    /* the service is watched directly until then */
   gboolean shared_outage; /* the followed peer reports an outage of its own */
   gint64 next_refresh;    /* earliest time of the next query for all tables */
-  gboolean refreshing;    /* ... which waits for the configuration's answer */
+  gboolean refreshing;    /* the query for all tables waits for the answer about
+                             the configuration */
   CcTimer follow_timer;   /* until the next attempt to follow a peer */
   gint64 followed_outage; /* last outage of the followed peer; 0: none */
   gint64 peers_fresh_at;  /* newest time at which a peer's copy was fresh */
--- a/test/mirror_world.c
+++ b/test/mirror_world.c
@@ -110,7 +110,7 @@
   q->data = data;
 }
 
-/* The node at ADDRESS, 10.0.0.I:1. */
+/* Returns the node at ADDRESS, 10.0.0.I:1. */
 Node *
 world_node_at (const char *address)
 {
@@ -702,7 +702,7 @@
   cc_mirror_start (n->mirror, 0);
 }
 
-/* Starts a fleet without faults. */
+/* Starts a fleet of NODES nodes without faults. */
 void
 world_begin (guint seed, Answers answers)
 {
@@ -712,8 +712,8 @@
     start_node (i);
 }
 
-/* The same for COUNT members in ZONES zones, which follow one another by their
- * members' rows. */
+/* Starts a fleet of COUNT members in ZONES zones without faults; whom each of
+ * them follows is derived from the members' rows. */
 void
 world_begin_fleet (guint seed, guint count, guint zones)
 {
@@ -877,7 +877,7 @@
     }
 }
 
-/* The granter writes VALUE to a range's row with its lease. */
+/* The granter writes VALUE to a range's row together with its lease. */
 void
 world_write_range (const char *value)
 {
--- a/test/mirror_world.h
+++ b/test/mirror_world.h
@@ -20,7 +20,8 @@
 #define WATCH_WITHIN (700 * CC_MS)
 #define PEER_TAKES (2 * CC_MS)
 #define RENEWAL (650 * CC_MS)
-/* The lease goes to another node after its holder was cut off for so long. */
+/* Another node takes over the lease after its holder was cut off for this time.
+ */
 #define TERM (2250 * CC_MS)
 /* Users' bound: a node that was connected for CONNECTED_FOR has a change within
  * APPLIED_WITHIN after it was written. */
@@ -74,7 +75,7 @@
   guint calls;         /* to the service */
   CcMembers *members;  /* NULL: world.relayed determines whom it follows */
   guint answers;       /* to peers */
-  guint64 bytes;       /* ... of rows in them */
+  guint64 bytes;       /* of the rows in these answers */
   GHashTable *clients; /* of Node: peers that sent it requests */
   guint config;        /* version in its copy at the last check */
   CcTargets targets;
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -43,7 +43,7 @@
 /* Guards against a request for a key that is sent to its owner after that has
  * exited.  A followed peer's answer is in transit for most of a second while
  * the owner announces that it leaves; a follower that counts the age of the
- * rows from the arrival takes them for younger than they are. */
+ * rows from the arrival underestimates it. */
 static void
 a_delayed_answer_counts_from_when_it_was_given (void **state)
 {
@@ -386,7 +386,7 @@
 }
 
 /* Load: the service is down for the whole fleet.  Guards against processes that
- * nobody follows retrying each table all the time. */
+ * nobody follows retrying each table continually. */
 static void
 an_outage_costs_leaves_few_calls (void **state)
 {
@@ -435,11 +435,11 @@
 {
   const char *name;
   gboolean relayed;
-  gint64 granter_ms; /* its row is written so long after the start; 0: before */
+  gint64 granter_ms; /* from the start to the writing of its row; 0: before */
   gboolean lost;     /* the granter that the row names does not answer */
   gint64 whole_ms;   /* every copy is complete by then */
   guint
-      calls; /* most calls by then of a node that is no first reader; 0: any */
+      calls; /* limit by then for a node that is not a first reader; 0: none */
 } Start;
 
 /* A copy is complete within the time for which a process waits for its peers,
