--- a/members.c
+++ b/members.c
@@ -25,13 +25,15 @@
 #define RELAYS 3         /* in each zone; two may be lost at once */
 #define RELAYS_MIN 2     /* enough if all further candidates are weak */
 #define FOLLOWERS_MAX 40 /* of a relay, on average */
-#define WEAK_PART 0.5    /* less than this part of the previous one's cores */
-#define FIRST_READERS 3  /* members that read all tables when they start */
+/* A candidate is weak if it has less than this fraction of the cores of the
+ * next stronger one. */
+#define WEAK_PART 0.5
+#define FIRST_READERS 3 /* members that read all tables when they start */
 /* A relay that did not answer is skipped for this time, which doubles with each
  * failure. */
 #define BACKOFF_MIN (1 * CC_SECOND)
 #define BACKOFF_MAX (30 * CC_SECOND)
-/* Attempts to draw a member other than this process. */
+/* Number of random draws of a member other than this process. */
 #define DRAWS 4
 
 typedef struct
@@ -66,7 +68,7 @@
   gboolean granter_fallback; /* follow the granter if no relay answers */
   GHashTable *backoffs;      /* address to Backoff */
   gboolean is_relay;
-  guint rank;     /* index of this process in LIST; the length: not in it */
+  guint rank;     /* index of this process in LIST; LIST's length: not in it */
   guint64 newest; /* version of the newest member row */
   gboolean registered; /* its row is written, or the write is pending */
   CcTimer registering;
@@ -382,14 +384,14 @@
   const CcRow *granter = cc_view_get (state, CC_GRANTER_KEY);
   const char *address = granter != NULL ? granter->value : NULL;
   guint64 newest = newest_of (rows);
-  gboolean is_listed = newest == m->newest && rows->len == m->list->len;
+  gboolean is_unchanged = newest == m->newest && rows->len == m->list->len;
 
-  if (is_listed && is_granter_at (m, address))
+  if (is_unchanged && is_granter_at (m, address))
     return;
   g_free (m->granter);
   m->granter = g_strdup (address);
   m->newest = newest;
-  if (!is_listed)
+  if (!is_unchanged)
     read_members (m, rows);
   choose_relays (m);
 }
--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -15,7 +15,7 @@
 
 #define ZONES 5
 #define RANGES 300
-#define FOLLOWERS_MAX 40        /* of a relay, in the mean */
+#define FOLLOWERS_MAX 40        /* of a relay, on average */
 #define LINK_STRONG (200e6 / 8) /* bytes a second */
 #define LINK_WEAK (20e6 / 8)
 #define ROWS_PART 0.1       /* of a link, while keys move */
--- a/test/test_members.c
+++ b/test/test_members.c
@@ -26,7 +26,7 @@
   gboolean followed;   /* peers follow this process */
   const char *follows; /* address of the followed peer; NULL: none */
   const char *reports; /* address to which it reports load; NULL: none */
-  gboolean relays;     /* it is a relay, which sums up reports of others */
+  gboolean relays;     /* it is a relay, which adds up its followers' reports */
   guint distance;
   guint rank;
 } Case;
@@ -112,7 +112,7 @@
     }
 }
 
-/* Load: ranges of keys change all the time.  Guards against each change making
+/* Load: ranges of keys change continually.  Guards against each change making
  * every process parse all member rows again. */
 static void
 only_rows_of_members_are_read (void **state)
