--- a/edge.h
+++ b/edge.h
@@ -14,7 +14,7 @@
 
 #define CC_KEYS 65536 /* keys are numbers below this */
 
-/* What a caller's headers say about its request. */
+/* Contents of the headers of a caller's request. */
 typedef struct
 {
   char *id;    /* unique to this attempt of the caller; "": not given */
@@ -27,8 +27,10 @@
 {
   CC_SERVER_ANSWERED,    /* the server's own answer; the request has run */
   CC_SERVER_SHED,        /* refused for load or lack of time; not run */
-  CC_SERVER_MISDIRECTED, /* another server, or not the key's owner; not run */
-  CC_SERVER_MISMATCHED   /* not the server's answer to this request; unknown */
+  CC_SERVER_MISDIRECTED, /* reached another server, or one that does not own the
+                            key; not run */
+  CC_SERVER_MISMATCHED   /* not the server's answer to this request; outcome
+                            unknown */
 } CcServerReplyKind;
 
 typedef struct
@@ -43,19 +45,19 @@
   const char *server; /* its id */
   guint from;
   guint to;
-  guint64 fence;       /* grows with each owner */
+  guint64 fence;       /* increases with each change of owner */
   gint64 hold;         /* how long the server may hold the keys, us */
   const char *handoff; /* data from the previous owner; NULL: none */
 } CcKeyGrant;
 
-void cc_edge_read_caller (SoupMessageHeaders *h, CcCallerInfo *w);
-void cc_caller_info_clear (CcCallerInfo *w);
+void cc_edge_read_caller (SoupMessageHeaders *h, CcCallerInfo *info);
+void cc_caller_info_clear (CcCallerInfo *info);
 gboolean cc_edge_forwards_header (const char *header);
-void cc_edge_write_headers (GString *head, const CcCallerInfo *w, gint64 left,
-                            const char *target);
+void cc_edge_write_headers (GString *head, const CcCallerInfo *info,
+                            gint64 left, const char *target);
 const char *cc_edge_echo_header (void);
 void cc_edge_read_server (const CcHttpResult *r, const char *id,
-                          CcServerReply *w);
+                          CcServerReply *reply);
 
 char *cc_edge_grant_head (const CcKeyGrant *g, GBytes **body);
 char *cc_edge_release_head (const CcKeyGrant *g, GBytes **body);
