--- a/platform.c
+++ b/platform.c
@@ -36,7 +36,7 @@
   GCancellable *cancellable;
   guint timer;
   gint64 started_at;   /* us */
-  gint64 allowed;      /* its timeout, us */
+  gint64 timeout;      /* us */
   gboolean maybe_sent; /* bytes may have left the process */
   guint64 since;
   CcCommitDone commit;
@@ -133,11 +133,11 @@
   Call *c = data;
 
   c->timer = 0;
-  cc_call_timeout_expired (&c->platform->timeout, c->allowed);
+  cc_call_timeout_expired (&c->platform->timeout, c->timeout);
   cc_log (CC_LOG_DEBUG, "platform",
           "%s timed out after %" G_GINT64_FORMAT
           " ms, next timeout %" G_GINT64_FORMAT " ms",
-          soup_message_get_method (c->message), c->allowed / CC_MS,
+          soup_message_get_method (c->message), c->timeout / CC_MS,
           c->platform->timeout.current / CC_MS);
   g_cancellable_cancel (c->cancellable);
   return G_SOURCE_REMOVE;
@@ -165,8 +165,8 @@
   cc_http_use_new_connection (c->message);
   c->cancellable = g_cancellable_new ();
   c->started_at = cc_clock_now ();
-  c->allowed = p->timeout.current;
-  c->timer = g_timeout_add ((guint) (c->allowed / CC_MS), on_timeout, c);
+  c->timeout = p->timeout.current;
+  c->timer = g_timeout_add ((guint) (c->timeout / CC_MS), on_timeout, c);
   g_signal_connect (c->message, "starting", G_CALLBACK (on_starting), c);
   ++*p->calls;
   return c;
--- a/table.h
+++ b/table.h
@@ -1,6 +1,6 @@
 /* The table service, which stores all durable state.
  *
- * Rows have a key within a table, and a version from one counter that grows
+ * Rows have a key within a table, and a version from one counter that increases
  * with each transaction.  The service may be slow, down, or unreachable for
  * this process only; every call ends with a status. */
 #ifndef CC_TABLE_H
