--- a/follower.c
+++ b/follower.c
@@ -18,7 +18,7 @@
 #define POLL_TICKS 2   /* platform polled every 200 ms: 5 reads/s per process */
 #define GOSSIP_TICKS 5 /* random member polled every 500 ms */
 #define PLATFORM_OUTAGE_AFTER                                                  \
-  (2 * CC_SECOND) /* longer than one lost answer takes */
+  (2 * CC_SECOND) /* longer than the timeout of one lost answer */
 #define SUBSCRIBER_TIMEOUT                                                     \
   (2 * CC_SECOND) /* removed without a SYNC for this time */
 
@@ -418,8 +418,8 @@
 /* Returns the version up to which a peer's rows, complete to UPTO, make the
  * view complete.  A peer's rows lack those that it skips when it polls.  A
  * process that skips none, an assigner, applies them but does not count them as
- * complete: it would never receive the last renewal of a lease, take the lease
- * for older than it is, and have each takeover rejected for good. */
+ * complete: it would never receive the last renewal of a lease, treat the lease
+ * as older than it is, and have every takeover rejected. */
 static guint64
 complete_upto (const CcFollower *f, guint64 upto)
 {
--- a/listing.c
+++ b/listing.c
@@ -2,7 +2,7 @@
  *
  * Load pattern: the platform is slow, and each answer takes longer than the
  * period.  With one request at a time, a change of the list is seen only after
- * the time of two answers, and a server that leaves is emptied that much later.
+ * the time of two answers, and a server that leaves is drained that much later.
  *
  * So requests keep their period even while earlier ones are pending; the
  * timeout of a call bounds how many are pending.  An answer is used unless a
--- a/roster.h
+++ b/roster.h
@@ -9,7 +9,7 @@
 {
   char *id; /* dispatcher id, "a1.17f3.1" */
   char *zone;
-  gboolean draining; /* it is handing its servers over */
+  gboolean draining; /* it is handing over its servers */
 } CcRosterDispatcher;
 
 typedef struct
--- a/test/test_follower.c
+++ b/test/test_follower.c
@@ -12,7 +12,7 @@
 #include "follower.h"
 
 #define PORT 7600
-#define HANGS_AFTER_MS 10000
+#define TEST_TIMEOUT_MS 10000
 #define SETTLE_MS 100 /* time for connections to drain */
 #define MEMBER "{\"instance\":\"i\",\"address\":\"%s\",\"incarnation\":%u}"
 #define MAP "{\"servers\":[],\"slices\":[],\"hot\":[]}"
@@ -121,14 +121,14 @@
 
       receive_row (&assigner, "member/d", cases[i].member, row);
       receive_row (&dispatcher, "x", cases[i].upto, "");
-      for (guint k = 0; k < HANGS_AFTER_MS &&
+      for (guint k = 0; k < TEST_TIMEOUT_MS &&
                         !cc_mailbox_is_up (assigner.box, dispatcher.address);
            k++)
         run_loop_for (1);
       cc_follower_wrote (assigner.follower, key, 100 + i, MAP);
       assert_non_null (cc_view_get (&assigner.follower->view, key));
       cc_follower_send_map (assigner.follower, key, ids);
-      for (guint k = 0; k < HANGS_AFTER_MS && dispatcher.received == received;
+      for (guint k = 0; k < TEST_TIMEOUT_MS && dispatcher.received == received;
            k++)
         run_loop_for (1);
       assert_int_equal (dispatcher.received, received + 1);
--- a/test/test_row_codec.c
+++ b/test/test_row_codec.c
@@ -15,7 +15,7 @@
   const char *name;
   const char *unit; /* the value is UNIT, COUNT times; NULL: deleted */
   guint count;
-  gsize most; /* bytes of the encoded row at most */
+  gsize size_max; /* of the encoded row, bytes */
 } Case;
 
 static const Case cases[] = {
@@ -60,7 +60,7 @@
       encoded = g_variant_ref_sink (cc_rows_encode (&v, 3));
       again = g_variant_ref_sink (cc_rows_encode (&v, 3));
       assert_true (g_variant_equal (encoded, again));
-      if (g_variant_get_size (encoded) > c->most)
+      if (g_variant_get_size (encoded) > c->size_max)
         fail_msg ("%s: %zu bytes", c->name, g_variant_get_size (encoded));
       rows = g_variant_ref_sink (cc_rows_decode (encoded));
       assert_int_equal (g_variant_n_children (rows), 1);
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -27,8 +27,8 @@
 /* An instance's link of 10 Mbit/s. */
 #define SLOW_LINK 1250000 /* bytes a second */
 
-/* Returns the answer to REQUEST, which has waited for HELD us, or NULL while it
- * must wait. */
+/* Returns the answer to REQUEST, which was held for HELD us, or NULL while it
+ * is to be held longer. */
 typedef GBytes *(*Respond) (const char *request, gint64 held);
 
 /* A link, shared by the answers of several servers to one process. */
@@ -483,8 +483,8 @@
   assert_true (wait_for_version (world.source, world.version, CC_SECOND));
   leaf = mirror_new (slow_table, c->by_peer ? peer : NULL, c->by_peer ? 2 : 0);
   assert_true (wait_for_version (leaf, world.version, CC_SECOND));
-  /* An update that arrives late in the wait of a request leaves its answer the
-   * least time. */
+  /* An update that occurs late in the wait of a request leaves the least time
+   * for the transfer of its answer. */
   wait_for_version (leaf, world.version + 1, REQUEST_AGE);
   return leaf;
 }
--- a/view.c
+++ b/view.c
@@ -199,7 +199,7 @@
  *
  * Rows after a gap are rejected, because they may depend on rows in the gap. An
  * assigner that had a map without the member row of a dispatcher named in it
- * would take that dispatcher for lost, and give its servers to another while it
+ * would treat that dispatcher as lost, and give its servers to another while it
  * still sends.  The next request gives the sender the version to start from. */
 guint
 cc_view_apply (CcView *v, guint64 since, guint64 upto, GVariant *rows)
