--- a/test/test_control_path.c
+++ b/test/test_control_path.c
@@ -20,14 +20,14 @@
 #define LINK_WEAK (20e6 / 8)
 #define ROWS_PART 0.1       /* of a link, while keys move */
 #define CHANGES_A_SECOND 10 /* to ranges */
-#define PASSED_ON_WITHIN (100 * CC_MS)
+#define FORWARDED_WITHIN (100 * CC_MS)
 /* The granter watches three tables, two of them with the shorter freshness
  * wait; no other member calls the service while nothing fails. */
-#define REST_CALLS_A_SECOND 8.0
+#define IDLE_CALLS_A_SECOND 8.0
 /* A relay follows the granter, a leaf a relay; both send a request at least
  * this often, and get an answer for each change. */
 #define CALLS_A_SECOND (1 / 0.9 + CHANGES_A_SECOND + 2)
-#define WHOLE_WITHIN (700 * CC_MS)
+#define COMPLETE_WITHIN (700 * CC_MS)
 
 /* What a member of a fleet of 2,700 may spend on control traffic: 1.2% of a
  * core, at 0.1 ms for an answer or a report, and 6 kB a second. */
@@ -130,12 +130,12 @@
           gint64 at = cc_clock_now ();
 
           world_write_range (value);
-          world_run_until (at + PASSED_ON_WITHIN);
+          world_run_until (at + FORWARDED_WITHIN);
           for (guint k = 0; k < world.count; k++)
             if (!g_str_equal (value_at (k), value))
               fail_msg ("%u members: member %u has an old row", sizes[s], k);
         }
-      if (all_calls () > REST_CALLS_A_SECOND * 3 + CC_TABLE_FOLLOWED)
+      if (all_calls () > IDLE_CALLS_A_SECOND * 3 + CC_TABLE_FOLLOWED)
         fail_msg ("%u members: %u calls in 3 s", sizes[s], all_calls ());
       check_load (3);
       world_clear ();
@@ -145,9 +145,9 @@
 
 /* Returns the highest number of reports a second that one member receives. */
 static double
-most_reports (void)
+max_reports (void)
 {
-  g_autofree double *taken = g_new0 (double, world.count);
+  g_autofree double *reports = g_new0 (double, world.count);
   double most = 0;
 
   for (guint p = 0; p < REPORT_DRAWS; p++)
@@ -158,11 +158,11 @@
         gint64 period = cc_members_is_relay (m) ? CC_LOAD_RELAY_PERIOD
                                                 : CC_LOAD_REPORT_PERIOD;
 
-        taken[world_node_at (address) - world.nodes] +=
+        reports[world_node_at (address) - world.nodes] +=
             (double) CC_SECOND / (double) period / REPORT_DRAWS;
       }
   for (guint i = 0; i < world.count; i++)
-    most = MAX (most, taken[i]);
+    most = MAX (most, reports[i]);
   return most;
 }
 
@@ -178,7 +178,7 @@
 static Busiest
 find_busiest (double seconds)
 {
-  Busiest b = { .reports = most_reports () };
+  Busiest b = { .reports = max_reports () };
 
   for (guint i = 0; i < world.count; i++)
     {
@@ -243,7 +243,7 @@
     {
       begin_with_ranges (s + 1, sizes[s]);
       world_restart ();
-      world_run_until (cc_clock_now () + WHOLE_WITHIN);
+      world_run_until (cc_clock_now () + COMPLETE_WITHIN);
       for (guint i = 0; i < world.count; i++)
         {
           const Node *n = &world.nodes[i];
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -87,10 +87,10 @@
   const char *cause; /* of that failure */
 } regression_seeds[] = {
   { 1541, "the followed peer's list of upstreams was older than reported" },
-  { 2526, "the same" },
-  { 2801, "the same" },
-  { 2260, "an outage was taken to have lasted until it was detected" },
-  { 3766, "the same" },
+  { 2526, "the followed peer's list of upstreams was older than reported" },
+  { 2801, "the followed peer's list of upstreams was older than reported" },
+  { 2260, "an outage appeared to last until it was detected" },
+  { 3766, "an outage appeared to last until it was detected" },
 };
 
 /* The same, with a service that discards its history. */
@@ -435,9 +435,9 @@
 {
   const char *name;
   gboolean relayed;
-  gint64 granter_ms; /* from the start to the writing of its row; 0: before */
-  gboolean lost;     /* the granter that the row names does not answer */
-  gint64 whole_ms;   /* every copy is complete by then */
+  gint64 granter_ms;  /* from the start to the writing of its row; 0: before */
+  gboolean lost;      /* the granter that the row names does not answer */
+  gint64 complete_ms; /* every copy is complete by then */
   guint
       calls; /* limit by then for a node that is not a first reader; 0: none */
 } Start;
@@ -445,18 +445,20 @@
 /* A copy is complete within the time for which a process waits for its peers,
  * 1 s, and the transit of an answer; with no peer to follow, within 1.5 s. */
 static const Start starts[] = {
-  { "a process is started again", FALSE, 0, FALSE, 300, 2 },
-  { "... in a fleet with relays", TRUE, 0, FALSE, 700, 2 },
+  { "a fleet is restarted", FALSE, 0, FALSE, 300, 2 },
+  { "a fleet with relays is restarted", TRUE, 0, FALSE, 700, 2 },
   { "a fleet that starts for the first time", FALSE, 400, FALSE, 1500, 4 },
-  { "... with relays", TRUE, 400, FALSE, 1500, 4 },
-  { "the granter is gone", FALSE, 0, TRUE, 1500, 0 },
-  { "... in a fleet with relays", TRUE, 0, TRUE, 1500, 0 },
+  { "a fleet with relays that starts for the first time", TRUE, 400, FALSE,
+    1500, 4 },
+  { "the granter does not answer", FALSE, 0, TRUE, 1500, 0 },
+  { "the granter does not answer in a fleet with relays", TRUE, 0, TRUE, 1500,
+    0 },
 };
 
 #define RANGES 1200 /* rows of ranges in a fleet that has had a granter */
 
 static gboolean
-is_whole (const Node *n)
+is_complete (const Node *n)
 {
   return cc_mirror_is_complete (n->mirror, CC_TABLE_CONFIG) &&
          cc_mirror_is_complete (n->mirror, CC_TABLE_UPSTREAMS) &&
@@ -493,12 +495,12 @@
           world_run_until (c->granter_ms * CC_MS);
           world_write_granter ();
         }
-      world_run_until (c->whole_ms * CC_MS);
+      world_run_until (c->complete_ms * CC_MS);
       for (guint k = c->lost ? 1 : 0; k < NODES; k++)
         {
           const Node *n = &world.nodes[k];
 
-          if (!is_whole (n))
+          if (!is_complete (n))
             fail_msg ("%s: node %u lacks rows", c->name, k);
           if (k >= FIRST_READERS && c->calls > 0 && n->calls > c->calls)
             fail_msg ("%s: node %u made %u calls", c->name, k, n->calls);
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -15,7 +15,7 @@
 #include "free_net.h"
 #include "mirror_state.h"
 
-/* The shortest time in which a configuration must be in force. */
+/* Bound for the time until a configuration is in force. */
 #define IN_FORCE_WITHIN (2 * CC_SECOND)
 #define RANDOM_NAME 300 /* letters */
 #define REQUEST_AGE (800 * CC_MS)
@@ -100,13 +100,13 @@
 }
 
 static void
-write_answer (Call *c, gsize most)
+write_answer (Call *c, gsize size_max)
 {
   GSocket *s = g_socket_connection_get_socket (c->connection);
   gsize size;
   const char *bytes = g_bytes_get_data (c->answer, &size);
   gssize put = g_socket_send (s, bytes + c->written,
-                              MIN (most, size - c->written), NULL, NULL);
+                              MIN (size_max, size - c->written), NULL, NULL);
 
   c->written += put > 0 ? (gsize) put : 0;
   if (c->written < size)
@@ -135,14 +135,14 @@
 }
 
 static void
-serve (Server *v, Call *c, gsize most)
+serve (Server *v, Call *c, gsize size_max)
 {
   if (c->since == 0)
     return;
   if (c->answer == NULL)
     c->answer = v->respond (c->request->str, cc_clock_now () - c->since);
   if (c->answer != NULL)
-    write_answer (c, most);
+    write_answer (c, size_max);
 }
 
 static gboolean
@@ -150,12 +150,12 @@
 {
   Server *v = data;
   gint64 now = cc_clock_now (), span = now - v->ticked;
-  gsize most = G_MAXSSIZE;
+  gsize size_max = G_MAXSSIZE;
 
   v->ticked = now;
   if (v->link != NULL)
-    most = (gsize) ((gint64) v->link->rate * span / CC_SECOND) /
-           MAX (v->link->busy, 1);
+    size_max = (gsize) ((gint64) v->link->rate * span / CC_SECOND) /
+               MAX (v->link->busy, 1);
   for (guint i = v->calls->len; i > 0; i--)
     if (!read_request (v->calls->pdata[i - 1]))
       g_ptr_array_remove_index_fast (v->calls, i - 1);
@@ -164,7 +164,7 @@
       Call *c = v->calls->pdata[i];
       gboolean was_busy = c->answer != NULL;
 
-      serve (v, c, most);
+      serve (v, c, size_max);
       if (v->link != NULL)
         v->link->busy += (c->answer != NULL) - was_busy;
     }
