--- a/members.c
+++ b/members.c
@@ -475,7 +475,7 @@
 
 /* Records whether the followed peer at ADDRESS ANSWERED a request.
  *
- * Failure: a relay has exited for good, and its row stays.  Symptom: the
+ * Failure: a relay has exited permanently, and its row stays.  Symptom: the
  * followers of its zone's relays keep drawing it, time out, and query the table
  * service instead. */
 void
--- a/mirror_peers.c
+++ b/mirror_peers.c
@@ -12,9 +12,10 @@
  * Failure: the followed process is cut off from the service or exits.  Symptom:
  * this process routes by stale rows.  Each answer says how long ago its rows
  * were known to be fresh; a follower that finds them older than MAX_AGE, or
- * gets no answer, watches the service directly for a while, beginning with a
- * query for all newer rows.  That is soon enough for a change of configuration,
- * which must be in force everywhere within 2 s.
+ * gets no answer, queries the service for all newer rows.  If it follows the
+ * granter and got no answer, it then watches the service directly for
+ * DIRECT_WATCH.  That is soon enough for a change of configuration, which must
+ * be in force everywhere within 2 s.
  *
  * Failure: the service rejects this machine while it serves others.  So while a
  * watch fails, the same rows are requested from a peer, a random one each time.
@@ -210,8 +211,8 @@
  * safe side: the later a lease appears to have been renewed, the later it is
  * taken over, and the later an outage appears to have ended, the longer
  * deletions are treated as uncertain.  The caller reads NOW before the rows are
- * applied: that may take a while, and the copy would count as fresher than it
- * is. */
+ * applied: that may take long, and the copy would count as fresher than it is.
+ */
 static gint64
 apply_peer_answer (CcMirror *m, const CcHttpResult *r, gint64 sent_at,
                    gint64 now, gint64 *outage)
--- a/test/test_members.c
+++ b/test/test_members.c
@@ -265,7 +265,7 @@
     }
 }
 
-/* Failure: a relay is removed for good and its row stays.  Guards against
+/* Failure: a relay is removed permanently and its row stays.  Guards against
  * sending it one request in three, and against following no peer when no relay
  * answers. */
 static void
--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -51,9 +51,9 @@
   run_seeds (PEERS_LATE);
 }
 
-/* The same, or routing by an old configuration, where the followed process
- * receives the service's answer late, because its link is slow or it was
- * paused, and counts its copy as fresh from the arrival. */
+/* The same failure, or routing by an old configuration, where the followed
+ * process receives the service's answer late, because its link is slow or it
+ * was paused, and counts its copy as fresh from the arrival. */
 static void
 a_delayed_answer_of_the_service_counts_from_when_it_was_given (void **state)
 {
@@ -71,7 +71,7 @@
   run_seeds (HISTORY_LOST);
 }
 
-/* Guards against a deleted row that is kept for good: the followed peer was
+/* Guards against a deleted row that is kept permanently: the followed peer was
  * restarted and read the table after the deletion. */
 static void
 a_restarted_peer_hides_no_deletion (void **state)
@@ -93,7 +93,7 @@
   { 3766, "an outage appeared to last until it was detected" },
 };
 
-/* The same, with a service that discards its history. */
+/* Further seeds, with a service that discards its history. */
 static const struct
 {
   guint seed;
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -507,7 +507,7 @@
     }
 }
 
-/* Guards against an answer with a damaged row that is taken for a valid one:
+/* Guards against an answer with a damaged row that is treated as a valid one:
  * the copy would count as fresh, and the same rows be requested without end. */
 static void
 a_damaged_answer_is_rejected (void **state)
@@ -544,8 +544,8 @@
   return cc_view_get (cc_mirror_view (m, CC_TABLE_UPSTREAMS), "u") != NULL;
 }
 
-/* Guards against a row that is kept for good: it is deleted, and the peer that
- * is followed from then on read the table after that and never had it. */
+/* Guards against a row that is kept permanently: it is deleted, and the peer
+ * that is followed from then on read the table after that and never had it. */
 static void
 a_copy_drops_what_its_new_peer_never_had (void **state)
 {
--- a/test/test_store.c
+++ b/test/test_store.c
@@ -1,4 +1,4 @@
-/* Guards against damaged answers of the table service that are taken for rows;
+/* Guards against damaged answers of the table service that are treated as rows;
  * against a server that sends given bodies. */
 #include <stdarg.h>
 #include <stddef.h>
@@ -123,8 +123,8 @@
   o->rows = (guint) g_variant_n_children (rows);
 }
 
-/* Guards against an answer without rows, or with a damaged row, that is taken
- * for a whole table: keys whose rows are missing are granted as unassigned. */
+/* Guards against an answer without rows, or with a damaged row, that is treated
+ * as a whole table: keys whose rows are missing are granted as unassigned. */
 static void
 a_damaged_answer_is_rejected (void **state)
 {
