--- a/test/test_mirror.c
+++ b/test/test_mirror.c
@@ -43,7 +43,7 @@
 /* Guards against a request for a key that is sent to its owner after that has
  * exited.  A followed peer's answer is in transit for most of a second while
  * the owner announces that it leaves; a follower that counts the age of the
- * rows from the arrival takes them for younger than they are. */
+ * rows from the arrival underestimates it. */
 static void
 a_delayed_answer_counts_from_when_it_was_given (void **state)
 {
@@ -51,9 +51,9 @@
   run_seeds (PEERS_LATE);
 }
 
-/* The same, or routing by an old configuration, where the followed process
- * receives the service's answer late, because its link is slow or it was
- * paused, and counts its copy as fresh from the arrival. */
+/* The same failure, or routing by an old configuration, where the followed
+ * process receives the service's answer late, because its link is slow or it
+ * was paused, and counts its copy as fresh from the arrival. */
 static void
 a_delayed_answer_of_the_service_counts_from_when_it_was_given (void **state)
 {
@@ -71,7 +71,7 @@
   run_seeds (HISTORY_LOST);
 }
 
-/* Guards against a deleted row that is kept for good: the followed peer was
+/* Guards against a deleted row that is kept permanently: the followed peer was
  * restarted and read the table after the deletion. */
 static void
 a_restarted_peer_hides_no_deletion (void **state)
@@ -87,13 +87,13 @@
   const char *cause; /* of that failure */
 } regression_seeds[] = {
   { 1541, "the followed peer's list of upstreams was older than reported" },
-  { 2526, "the same" },
-  { 2801, "the same" },
-  { 2260, "an outage was taken to have lasted until it was detected" },
-  { 3766, "the same" },
+  { 2526, "the followed peer's list of upstreams was older than reported" },
+  { 2801, "the followed peer's list of upstreams was older than reported" },
+  { 2260, "an outage appeared to last until it was detected" },
+  { 3766, "an outage appeared to last until it was detected" },
 };
 
-/* The same, with a service that discards its history. */
+/* Further seeds, with a service that discards its history. */
 static const struct
 {
   guint seed;
@@ -386,7 +386,7 @@
 }
 
 /* Load: the service is down for the whole fleet.  Guards against processes that
- * nobody follows retrying each table all the time. */
+ * nobody follows retrying each table continually. */
 static void
 an_outage_costs_leaves_few_calls (void **state)
 {
@@ -435,28 +435,30 @@
 {
   const char *name;
   gboolean relayed;
-  gint64 granter_ms; /* its row is written so long after the start; 0: before */
-  gboolean lost;     /* the granter that the row names does not answer */
-  gint64 whole_ms;   /* every copy is complete by then */
+  gint64 granter_ms;  /* from the start to the writing of its row; 0: before */
+  gboolean lost;      /* the granter that the row names does not answer */
+  gint64 complete_ms; /* every copy is complete by then */
   guint
-      calls; /* most calls by then of a node that is no first reader; 0: any */
+      calls; /* limit by then for a node that is not a first reader; 0: none */
 } Start;
 
 /* A copy is complete within the time for which a process waits for its peers,
  * 1 s, and the transit of an answer; with no peer to follow, within 1.5 s. */
 static const Start starts[] = {
-  { "a process is started again", FALSE, 0, FALSE, 300, 2 },
-  { "... in a fleet with relays", TRUE, 0, FALSE, 700, 2 },
+  { "a fleet is restarted", FALSE, 0, FALSE, 300, 2 },
+  { "a fleet with relays is restarted", TRUE, 0, FALSE, 700, 2 },
   { "a fleet that starts for the first time", FALSE, 400, FALSE, 1500, 4 },
-  { "... with relays", TRUE, 400, FALSE, 1500, 4 },
-  { "the granter is gone", FALSE, 0, TRUE, 1500, 0 },
-  { "... in a fleet with relays", TRUE, 0, TRUE, 1500, 0 },
+  { "a fleet with relays that starts for the first time", TRUE, 400, FALSE,
+    1500, 4 },
+  { "the granter does not answer", FALSE, 0, TRUE, 1500, 0 },
+  { "the granter does not answer in a fleet with relays", TRUE, 0, TRUE, 1500,
+    0 },
 };
 
 #define RANGES 1200 /* rows of ranges in a fleet that has had a granter */
 
 static gboolean
-is_whole (const Node *n)
+is_complete (const Node *n)
 {
   return cc_mirror_is_complete (n->mirror, CC_TABLE_CONFIG) &&
          cc_mirror_is_complete (n->mirror, CC_TABLE_UPSTREAMS) &&
@@ -493,12 +495,12 @@
           world_run_until (c->granter_ms * CC_MS);
           world_write_granter ();
         }
-      world_run_until (c->whole_ms * CC_MS);
+      world_run_until (c->complete_ms * CC_MS);
       for (guint k = c->lost ? 1 : 0; k < NODES; k++)
         {
           const Node *n = &world.nodes[k];
 
-          if (!is_whole (n))
+          if (!is_complete (n))
             fail_msg ("%s: node %u lacks rows", c->name, k);
           if (k >= FIRST_READERS && c->calls > 0 && n->calls > c->calls)
             fail_msg ("%s: node %u made %u calls", c->name, k, n->calls);
--- a/test/test_slow_link.c
+++ b/test/test_slow_link.c
@@ -15,7 +15,7 @@
 #include "free_net.h"
 #include "mirror_state.h"
 
-/* The shortest time in which a configuration must be in force. */
+/* Bound for the time until a configuration is in force. */
 #define IN_FORCE_WITHIN (2 * CC_SECOND)
 #define RANDOM_NAME 300 /* letters */
 #define REQUEST_AGE (800 * CC_MS)
@@ -27,8 +27,8 @@
 /* An instance's link of 10 Mbit/s. */
 #define SLOW_LINK 1250000 /* bytes a second */
 
-/* Returns the answer to REQUEST, which has waited for HELD us, or NULL while it
- * must wait. */
+/* Returns the answer to REQUEST, which was held for HELD us, or NULL while it
+ * is to be held longer. */
 typedef GBytes *(*Respond) (const char *request, gint64 held);
 
 /* A link, shared by the answers of several servers to one process. */
@@ -100,13 +100,13 @@
 }
 
 static void
-write_answer (Call *c, gsize most)
+write_answer (Call *c, gsize size_max)
 {
   GSocket *s = g_socket_connection_get_socket (c->connection);
   gsize size;
   const char *bytes = g_bytes_get_data (c->answer, &size);
   gssize put = g_socket_send (s, bytes + c->written,
-                              MIN (most, size - c->written), NULL, NULL);
+                              MIN (size_max, size - c->written), NULL, NULL);
 
   c->written += put > 0 ? (gsize) put : 0;
   if (c->written < size)
@@ -135,14 +135,14 @@
 }
 
 static void
-serve (Server *v, Call *c, gsize most)
+serve (Server *v, Call *c, gsize size_max)
 {
   if (c->since == 0)
     return;
   if (c->answer == NULL)
     c->answer = v->respond (c->request->str, cc_clock_now () - c->since);
   if (c->answer != NULL)
-    write_answer (c, most);
+    write_answer (c, size_max);
 }
 
 static gboolean
@@ -150,12 +150,12 @@
 {
   Server *v = data;
   gint64 now = cc_clock_now (), span = now - v->ticked;
-  gsize most = G_MAXSSIZE;
+  gsize size_max = G_MAXSSIZE;
 
   v->ticked = now;
   if (v->link != NULL)
-    most = (gsize) ((gint64) v->link->rate * span / CC_SECOND) /
-           MAX (v->link->busy, 1);
+    size_max = (gsize) ((gint64) v->link->rate * span / CC_SECOND) /
+               MAX (v->link->busy, 1);
   for (guint i = v->calls->len; i > 0; i--)
     if (!read_request (v->calls->pdata[i - 1]))
       g_ptr_array_remove_index_fast (v->calls, i - 1);
@@ -164,7 +164,7 @@
       Call *c = v->calls->pdata[i];
       gboolean was_busy = c->answer != NULL;
 
-      serve (v, c, most);
+      serve (v, c, size_max);
       if (v->link != NULL)
         v->link->busy += (c->answer != NULL) - was_busy;
     }
@@ -483,8 +483,8 @@
   assert_true (wait_for_version (world.source, world.version, CC_SECOND));
   leaf = mirror_new (slow_table, c->by_peer ? peer : NULL, c->by_peer ? 2 : 0);
   assert_true (wait_for_version (leaf, world.version, CC_SECOND));
-  /* An update that arrives late in the wait of a request leaves its answer the
-   * least time. */
+  /* An update that occurs late in the wait of a request leaves the least time
+   * for the transfer of its answer. */
   wait_for_version (leaf, world.version + 1, REQUEST_AGE);
   return leaf;
 }
@@ -507,7 +507,7 @@
     }
 }
 
-/* Guards against an answer with a damaged row that is taken for a valid one:
+/* Guards against an answer with a damaged row that is treated as a valid one:
  * the copy would count as fresh, and the same rows be requested without end. */
 static void
 a_damaged_answer_is_rejected (void **state)
@@ -544,8 +544,8 @@
   return cc_view_get (cc_mirror_view (m, CC_TABLE_UPSTREAMS), "u") != NULL;
 }
 
-/* Guards against a row that is kept for good: it is deleted, and the peer that
- * is followed from then on read the table after that and never had it. */
+/* Guards against a row that is kept permanently: it is deleted, and the peer
+ * that is followed from then on read the table after that and never had it. */
 static void
 a_copy_drops_what_its_new_peer_never_had (void **state)
 {
