--- a/exchange.c
+++ b/exchange.c
@@ -83,7 +83,7 @@
 gint64
 cc_exchange_left (const CcExchange *e, gint64 now)
 {
-  return e->give_up - now;
+  return e->deadline - now;
 }
 
 static void
@@ -131,7 +131,7 @@
   CcPoolLoad *load = &e->pool->load;
   double inside = r->report.running + r->report.waiting;
 
-  if (r->report.said)
+  if (r->report.received)
     cc_pool_load_add (load, &e->target->load.in_pool,
                       inside / MAX (e->target->load.slots, 1), e->typical.any,
                       now);
--- a/exchange_state.h
+++ b/exchange_state.h
@@ -36,7 +36,7 @@
   gint64 not_before;     /* earliest time of the next attempt, us */
   gint64 began;          /* us */
   gint64 target_time;    /* latency target of its route, us */
-  gint64 give_up;        /* deadline of its caller or route, us */
+  gint64 deadline;       /* of its caller or route, us */
   guint attempts_max;    /* limit of ATTEMPTS */
   guint attempts;        /* attempts that reached an upstream */
   guint unreached;       /* attempts without a connection */
--- a/forward.c
+++ b/forward.c
@@ -367,7 +367,7 @@
   e->began = cc_clock_now ();
   e->leaving = -1;
   e->target_time = s->route->target;
-  e->give_up = e->began + allowed;
+  e->deadline = e->began + allowed;
   e->attempts_max = MAX (s->route->attempts, 1);
   e->kind = g_strdup (s->route->name);
   e->typical = cc_forward_pool_typical (e->pool, e->kind, e->began);
--- a/pick.c
+++ b/pick.c
@@ -151,7 +151,7 @@
 {
   if (l->in_flight > 0)
     l->in_flight--;
-  if (r->report.said)
+  if (r->report.received)
     apply_report (l, &r->report, now);
   switch (r->end)
     {
--- a/pick.h
+++ b/pick.h
@@ -46,7 +46,7 @@
 /* An upstream's report on its own load, taken from a response. */
 typedef struct
 {
-  gboolean said;
+  gboolean received;
   guint running;
   guint waiting;
 } CcLoadReport;
@@ -66,7 +66,7 @@
   gint64 took;         /* duration, us */
   double work_share;   /* estimated part of it that was work, not waiting */
   double typical;      /* typical work time of its kind, us */
-  CcLoadReport report; /* of the upstream; said FALSE: none */
+  CcLoadReport report; /* of the upstream; received FALSE: none */
 } CcPickResult;
 
 double cc_pick_sent (CcTargetLoad *l, const CcTypicalWork *typical,
--- a/test/test_edge.c
+++ b/test/test_edge.c
@@ -247,7 +247,7 @@
         }
       r.headers = headers = cc_headers_take (packed);
       cc_edge_read_server (&r, "r1", &reply);
-      if (reply.kind != a->kind || reply.load.said != a->load)
+      if (reply.kind != a->kind || reply.load.received != a->load)
         fail_msg ("%s: kind %d", a->name, reply.kind);
     }
 }
--- a/test/test_overload.c
+++ b/test/test_overload.c
@@ -181,7 +181,7 @@
     result.report = (CcLoadReport){ TRUE, count (w, r->upstream, TRUE),
                                     count (w, r->upstream, FALSE) };
   cc_pick_ended (&e->upstreams[r->upstream].load, &result, now);
-  if (result.report.said)
+  if (result.report.received)
     cc_pool_load_add (&e->load, &e->upstreams[r->upstream].load.in_pool,
                       (double) (result.report.running + result.report.waiting) /
                           SLOTS,
