--- a/gateway.c
+++ b/gateway.c
@@ -588,14 +588,14 @@
                      .window = cc_setting_number (g->settings, "retry-window") *
                                CC_SECOND }
   };
-  CcGranterSetup granter_setup = { .targets = &g->targets,
-                                   .instance = g->instance,
-                                   .address = g->address,
-                                   .renewed = on_lease_renewed,
-                                   .data = g,
-                                   .patience = cores < GRANTER_CORES
-                                                   ? SMALL_PROCESS_LEASE_DELAY
-                                                   : 0 };
+  CcGranterSetup granter_setup = {
+    .targets = &g->targets,
+    .instance = g->instance,
+    .address = g->address,
+    .renewed = on_lease_renewed,
+    .data = g,
+    .claim_delay = cores < GRANTER_CORES ? SMALL_PROCESS_LEASE_DELAY : 0
+  };
   CcMembersSetup members_setup = { .instance = g->instance,
                                    .address = g->address,
                                    .zone = cc_setting (g->settings, "zone"),
--- a/granter.c
+++ b/granter.c
@@ -471,7 +471,7 @@
       /* Only a row that was just read proves that the holder has stopped
        * renewing. */
       g->may_claim = cc_granter_lease_may_claim (&g->shared.lease, now) &&
-                     (version != 0 || now >= g->started + g->setup.patience);
+                     (version != 0 || now >= g->started + g->setup.claim_delay);
       poll_when_free (g, now);
       return;
     }
--- a/granter.h
+++ b/granter.h
@@ -28,8 +28,8 @@
       *address; /* of this process, IP:PORT; load reports are sent to it */
   CcGranterRenewed renewed; /* called after each renewal, or NULL */
   gpointer data;            /* passed to RENEWED */
-  gint64 patience; /* for this long after the start a lease that was never held
-                      is not claimed, us */
+  gint64 claim_delay; /* for this long after the start a lease that was never
+                         held is not claimed, us */
 } CcGranterSetup;
 
 CcGranter *cc_granter_new (const CcGranterSetup *setup);
--- a/hangup.c
+++ b/hangup.c
@@ -42,7 +42,7 @@
 
   for (guint i = 0; i < watches->len; i++)
     {
-      polled[i].fd = ((CcHangup *) watches->pdata[i])->file;
+      polled[i].fd = ((CcHangup *) watches->pdata[i])->fd;
       polled[i].events = POLLRDHUP;
     }
   if (poll (polled, watches->len, 0) > 0)
@@ -85,7 +85,7 @@
     }
   h->watched = TRUE;
   h->index = watches->len;
-  h->file = g_socket_get_fd (socket);
+  h->fd = g_socket_get_fd (socket);
   h->gone = gone;
   h->data = data;
   g_ptr_array_add (watches, h);
--- a/hangup.h
+++ b/hangup.h
@@ -11,7 +11,7 @@
 {
   gboolean watched;
   guint index; /* in the array of all watches, if watched */
-  int file;
+  int fd;
   CcHangupCallback gone;
   gpointer data;
 } CcHangup;
--- a/voting.c
+++ b/voting.c
@@ -106,7 +106,7 @@
   m.expires = cc_clock_wall () + VOTE_EXPIRY;
   m.u.vote.what = what;
   m.u.vote.instance = id;
-  m.u.vote.term = version;
+  m.u.vote.row_version = version;
   m.u.vote.ballot = number;
   cc_mailbox_send (v->mailbox, address, &m);
 }
@@ -211,16 +211,18 @@
   CcVoteKind answer = CC_VOTE_REFUSED;
 
   if (request->what == CC_VOTE_REQUEST &&
-      cc_voter_promise (&v->voter, request->instance, request->term, now))
+      cc_voter_promise (&v->voter, request->instance, request->row_version,
+                        now))
     answer = CC_VOTE_PROMISED;
   else if (request->what == CC_VOTE_RELEASE &&
-           cc_voter_release (&v->voter, request->instance, request->term, now))
+           cc_voter_release (&v->voter, request->instance, request->row_version,
+                             now))
     answer = CC_VOTE_RELEASED;
   *v->promised += answer == CC_VOTE_PROMISED;
   *v->released += answer == CC_VOTE_RELEASED;
   *v->refused += answer == CC_VOTE_REFUSED;
-  send_vote (v, m->reply_to, m->from, answer, request->instance, request->term,
-             request->ballot);
+  send_vote (v, m->reply_to, m->from, answer, request->instance,
+             request->row_version, request->ballot);
 }
 
 /* Handles a CC_MSG_VOTE message: a request, or a vote on one of this process's
--- a/wire.c
+++ b/wire.c
@@ -108,7 +108,7 @@
     case CC_MSG_VOTE:
       return g_variant_new (TYPE_VOTE, m->u.vote.what,
                             string_or_empty (m->u.vote.instance),
-                            m->u.vote.term, m->u.vote.ballot);
+                            m->u.vote.row_version, m->u.vote.ballot);
     case CC_MSG_RELAY:
       return g_variant_new (TYPE_RELAY, m->u.relay.answer, m->u.relay.status,
                             string_or_empty (m->u.relay.body));
@@ -200,7 +200,7 @@
       return TRUE;
     case CC_MSG_VOTE:
       g_variant_get (v, "(u&stt)", &m->u.vote.what, &m->u.vote.instance,
-                     &m->u.vote.term, &m->u.vote.ballot);
+                     &m->u.vote.row_version, &m->u.vote.ballot);
       return TRUE;
     case CC_MSG_RELAY:
       g_variant_get (v, "(bu&s)", &m->u.relay.answer, &m->u.relay.status,
--- a/wire.h
+++ b/wire.h
@@ -94,7 +94,7 @@
 {
   guint32 what;         /* CcVoteKind of promise.h */
   const char *instance; /* whose lease */
-  guint64 term;         /* version of that lease's row */
+  guint64 row_version;  /* version of that lease's row */
   guint64 ballot;       /* matches a reply to its request */
 } CcMsgVote;
 
