--- a/link_health.c
+++ b/link_health.c
@@ -18,12 +18,13 @@
 /* A longer gap between polls means that this process was paused. */
 #define POLL_GAP_MAX (2 * CC_PING_PERIOD)
 
-/* Records a new connection at NOW.  It is unproven until a ping is answered. */
+/* Records a new connection at NOW.  Whether it carries messages in both
+ * directions is unknown until a ping is answered. */
 void
 cc_link_connected (CcLinkHealth *h, gint64 now)
 {
   h->connected = TRUE;
-  h->proven = FALSE;
+  h->pings_answered = FALSE;
   h->waiting_since = 0;
   h->pinged = 0;
   h->used = now;
@@ -34,7 +35,7 @@
 cc_link_lost (CcLinkHealth *h)
 {
   h->connected = FALSE;
-  h->proven = FALSE;
+  h->pings_answered = FALSE;
   h->waiting_since = 0;
 }
 
@@ -54,7 +55,7 @@
   if (!h->connected || h->waiting_since == 0 || sequence > h->sequence ||
       sequence < h->first)
     return;
-  h->proven = TRUE;
+  h->pings_answered = TRUE;
   h->waiting_since = sequence == h->sequence ? 0 : now;
 }
 
--- a/link_health.h
+++ b/link_health.h
@@ -28,7 +28,7 @@
 typedef struct
 {
   gboolean connected;
-  gboolean proven;  /* a ping on this connection was answered */
+  gboolean pings_answered; /* a ping on this connection was answered */
   guint64 first;    /* sequence number of the first ping on this connection */
   guint64 sequence; /* sequence number of the last ping sent */
   gint64 pinged;    /* when it was sent, us; 0: none on this connection */
--- a/mailbox.c
+++ b/mailbox.c
@@ -398,7 +398,7 @@
 gboolean
 cc_mailbox_is_up (CcMailbox *box, const char *address)
 {
-  return find_link (box, address)->health.proven;
+  return find_link (box, address)->health.pings_answered;
 }
 
 /* Returns the time since which the peer at ADDRESS has been silent without
@@ -420,12 +420,12 @@
 
   if (m->u.ping.answer)
     {
-      gboolean proven = l->health.proven;
+      gboolean pings_answered = l->health.pings_answered;
 
       cc_link_answered (&l->health, m->u.ping.sequence, cc_clock_now ());
-      if (!proven && l->health.proven)
+      if (!pings_answered && l->health.pings_answered)
         l->peer_incarnation = m->from;
-      if (l->health.proven)
+      if (l->health.pings_answered)
         l->silent_since = 0;
       return;
     }
@@ -469,7 +469,8 @@
 static gboolean
 reaches_recipient (const Link *l, const CcMessage *m)
 {
-  return l->health.proven && (m->to == 0 || m->to == l->peer_incarnation);
+  return l->health.pings_answered &&
+         (m->to == 0 || m->to == l->peer_incarnation);
 }
 
 /* Sends M to ADDRESS, filling in its envelope except for `to`, `id` and
--- a/test/test_link_health.c
+++ b/test/test_link_health.c
@@ -54,7 +54,7 @@
   {
     const char *script;
     gint silent_at; /* poll, from 0; -1: never */
-    gboolean proven;
+    gboolean pings_answered;
   } cases[] = {
     { "......", -1, FALSE },     /* no connection: nothing to check */
     { "c", -1, FALSE },          /* connected is not proven */
@@ -88,11 +88,12 @@
             }
           now += CC_PING_PERIOD;
         }
-      if (silent != cases[i].silent_at || h.proven != cases[i].proven)
+      if (silent != cases[i].silent_at ||
+          h.pings_answered != cases[i].pings_answered)
         print_error ("%s: silent at %d, proven %d\n", cases[i].script, silent,
-                     h.proven);
+                     h.pings_answered);
       assert_int_equal (silent, cases[i].silent_at);
-      assert_int_equal (h.proven, cases[i].proven);
+      assert_int_equal (h.pings_answered, cases[i].pings_answered);
     }
 }
 
