--- a/assign.c
+++ b/assign.c
@@ -163,7 +163,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  r->keeps = pool->cut_off == CC_CUT_OFF_KEEP;
+  r->serves_without_lease = pool->cut_off == CC_CUT_OFF_KEEP;
   g_hash_table_iter_init (&iter, a->follower->members);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
--- a/cut_off.c
+++ b/cut_off.c
@@ -63,7 +63,7 @@
 {
   gsize length = instance_length (id);
 
-  if (!r->keeps || id[0] == '\0')
+  if (!r->serves_without_lease || id[0] == '\0')
     return TRUE;
   if (has_registered_again (r, id, length))
     return TRUE;
--- a/dispatch.c
+++ b/dispatch.c
@@ -157,7 +157,7 @@
       remove_server (d, s);
       return;
     }
-  s->holding->keeps = serves_without_lease (d, m->pool);
+  s->holding->serves_without_lease = serves_without_lease (d, m->pool);
   if (m->version <= s->holding->map_version)
     return;
   track_removed_units (s, m, index);
--- a/holding.h
+++ b/holding.h
@@ -45,9 +45,9 @@
   gboolean active;       /* this dispatcher may send to it */
   gboolean handing_over; /* another dispatcher waits for this one to stop */
   gboolean checks_grants;
-  gboolean keeps;       /* continues to be served without a lease, cut_off.c */
-  GHashTable *slices;   /* slice to CcHeldSlice */
-  guint64 map_version;  /* of the newest map that was applied */
+  gboolean serves_without_lease; /* still served without a lease, cut_off.c */
+  GHashTable *slices;            /* slice to CcHeldSlice */
+  guint64 map_version;           /* of the newest map that was applied */
   guint64 serial;       /* counts changes of the list of granted slices */
   guint64 acked_serial; /* newest list that the server acknowledged */
   gint64 granted_until; /* its grant is valid at least until then, us */
--- a/roster.h
+++ b/roster.h
@@ -25,7 +25,8 @@
   GPtrArray *dispatchers; /* of CcRosterDispatcher: those with a valid lease */
   GPtrArray *servers;     /* of CcRosterServer: the pool's listed servers */
   GPtrArray *instances;   /* names of the router's listed instances */
-  gboolean keeps;         /* the pool is still served when a lease expires */
+  gboolean serves_without_lease; /* the pool is still served when a lease
+                                    expires */
 } CcRoster;
 
 CcRoster *cc_roster_new (void);
--- a/server.c
+++ b/server.c
@@ -50,7 +50,8 @@
 gboolean
 cc_server_may_serve (const CcServer *s, gint64 now)
 {
-  return s->holding->keeps || cc_tenure_is_valid (s->shared->tenure, now);
+  return s->holding->serves_without_lease ||
+         cc_tenure_is_valid (s->shared->tenure, now);
 }
 
 /* Returns a server with an empty queue.  Takes the caller's reference to H. */
--- a/test/test_cut_off.c
+++ b/test/test_cut_off.c
@@ -11,7 +11,7 @@
 
 typedef struct
 {
-  gboolean keeps;
+  gboolean serves_without_lease;
   const char *listed;     /* instance in the platform's list, or NULL */
   const char *registered; /* a registered dispatcher, or NULL */
   gboolean stopped;       /* expected for "i1.a0.1" */
@@ -40,7 +40,7 @@
       const Case *c = &cases[i];
       CcRoster *r = cc_roster_new ();
 
-      r->keeps = c->keeps;
+      r->serves_without_lease = c->serves_without_lease;
       if (c->listed != NULL)
         cc_roster_add_instance (r, c->listed);
       if (c->registered != NULL)
--- a/test/test_server.c
+++ b/test/test_server.c
@@ -174,7 +174,7 @@
   h = cc_holding_new (POOL, cc_slicemap_server (m, 0), FALSE, cc_clock_now (),
                       0);
   cc_holding_update (h, m, 0, HOLDER);
-  h->keeps = TRUE;
+  h->serves_without_lease = TRUE;
   cc_slicemap_free (m);
   return cc_server_new (&fixture.shared, h);
 }
@@ -279,7 +279,7 @@
   gint64 now = cc_clock_now ();
 
   (void) state;
-  s->holding->keeps = FALSE;
+  s->holding->serves_without_lease = FALSE;
   s->granting = TRUE; /* no grant is sent here */
   lease->valid_until = now;
   cc_holding_answered (s->holding, now);
